--- a/crates/lab/src/proxy/direct.rs
+++ b/crates/lab/src/proxy/direct.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use mallowring::calls::{Command, Far, Front, Input, Near, Request, SetUp, Wake, MARGIN};
+use mallowring::calls::{
+    CallEffect, CallEvent, CallTimer, CallerCommand, ExchangeCommand, Front, Request, SetUp, MARGIN,
+};
 use mallowring::interface::*;
 
 use super::{Seats, Told};
@@ -18,54 +20,60 @@
 
 #[derive(Debug, Default)]
 struct One {
-    offices: BTreeMap<ExchangeNo, OfficeId>,
+    offices: BTreeMap<ExchangeNumber, ExchangeId>,
     /// Attempts that are out.
-    out: BTreeMap<CallId, OfficeId>,
+    out: BTreeMap<CallId, ExchangeId>,
 }
 
 impl One {
-    fn take(&mut self, now: Time, input: Input, out: &mut Vec<Command>) {
-        let near = |id, near| Command::Near(Front::Platform, id, near);
+    fn take(&mut self, now: Time, input: CallEvent, out: &mut Vec<CallEffect>) {
+        let near = |id, near| CallEffect::Caller(Front::Platform, id, near);
         match input {
-            Input::List { offices, .. } => {
-                for office in offices.into_iter().filter(|o| o.condition == Condition::On) {
+            CallEvent::Roster { entries: offices, .. } => {
+                for office in offices.into_iter().filter(|o| o.state == ServiceState::InService) {
                     self.offices.insert(office.number, office.id);
                 }
             }
-            Input::Request(request) => match self.offices.get(&request.dest) {
+            CallEvent::Request(request) => match self.offices.get(&request.dest) {
                 Some(office) => {
                     self.out.insert(request.id.clone(), *office);
                     let last = now + (request.ttl - MARGIN).max(0.0);
-                    out.push(Command::Wake(last, Wake::Abandon(request.id.clone(), 0)));
+                    out.push(CallEffect::StartTimer(last, CallTimer::AttemptTimeout(request.id.clone(), 0)));
                     out.push(set_up(now, *office, request));
                 }
-                None => out.push(near(request.id, Near::Refuse(None))),
+                None => out.push(near(request.id, CallerCommand::Refuse(None))),
             },
-            Input::Answered { id, office, description, .. } => match self.out.remove(&id) {
-                Some(_) => out.push(near(id, Near::Answer(description))),
-                None => out.push(Command::Far(office, id, Far::Release { leg: Some(0) })),
+            CallEvent::Answered { id, exchange: office, description, .. } => match self.out.remove(&id) {
+                Some(_) => out.push(near(id, CallerCommand::Answer(description))),
+                None => out.push(CallEffect::Exchange(office, id, ExchangeCommand::Release { leg: Some(0) })),
             },
-            Input::Ended { id, .. } if self.out.remove(&id).is_some() => {
-                out.push(near(id, Near::Refuse(None)));
+            CallEvent::SetUpFailed { id, .. } if self.out.remove(&id).is_some() => {
+                out.push(near(id, CallerCommand::Refuse(None)));
             }
-            Input::Woken(Wake::Abandon(id, _)) => {
+            CallEvent::TimerExpired(CallTimer::AttemptTimeout(id, _)) => {
                 if let Some(office) = self.out.remove(&id) {
-                    out.push(Command::Far(office, id.clone(), Far::GiveUp { leg: 0 }));
-                    out.push(near(id, Near::Refuse(None)));
+                    out.push(CallEffect::Exchange(
+                        office,
+                        id.clone(),
+                        ExchangeCommand::CancelSetUp { leg: 0 },
+                    ));
+                    out.push(near(id, CallerCommand::Refuse(None)));
                 }
             }
-            Input::GaveUp(id) => {
+            CallEvent::CallerGaveUp(id) => {
                 if let Some(office) = self.out.remove(&id) {
-                    out.push(Command::Far(office, id, Far::GiveUp { leg: 0 }));
+                    out.push(CallEffect::Exchange(office, id, ExchangeCommand::CancelSetUp { leg: 0 }));
                 }
             }
-            Input::Released { id, whole, .. } => out.push(near(id, Near::Release { whole })),
+            CallEvent::ExchangeReleased { id, completed: whole, .. } => {
+                out.push(near(id, CallerCommand::Release { completed: whole }))
+            }
             _ => {}
         }
     }
 }
 
-fn set_up(now: Time, office: OfficeId, request: Request) -> Command {
+fn set_up(now: Time, office: ExchangeId, request: Request) -> CallEffect {
     let set_up = SetUp {
         leg: 0,
         class: request.class,
@@ -73,9 +81,9 @@
         width: request.width,
         direct: true,
         description: request.description,
-        until: now + request.ttl,
+        abandon_at: now + request.ttl,
     };
-    Command::Far(office, request.id, Far::SetUp(set_up))
+    CallEffect::Exchange(office, request.id, ExchangeCommand::SetUp(set_up))
 }
 
 impl Seats for Direct {
@@ -89,7 +97,7 @@
         Ok(())
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         let mut commands = Vec::new();
         for (proxy, inputs) in told {
             let Some(one) = self.proxies.get_mut(&proxy) else { continue };
--- a/crates/lab/src/proxy/follow.rs
+++ b/crates/lab/src/proxy/follow.rs
@@ -1,6 +1,6 @@
 //! Writes down all that the proxies were told and commanded about some calls.
 
-use mallowring::calls::{Command, Input, Wake};
+use mallowring::calls::{CallEffect, CallEvent, CallTimer};
 use mallowring::interface::{CallId, Time};
 
 use super::{Levels, Seats, Told};
@@ -27,22 +27,22 @@
     }
 }
 
-fn told_of(input: &Input) -> Option<&CallId> {
+fn told_of(input: &CallEvent) -> Option<&CallId> {
     match input {
-        Input::Request(request) => Some(&request.id),
-        Input::GaveUp(id)
-        | Input::Hangup(id)
-        | Input::Answered { id, .. }
-        | Input::Ended { id, .. }
-        | Input::Released { id, .. }
-        | Input::Woken(Wake::Abandon(id, _) | Wake::Deadline(id)) => Some(id),
+        CallEvent::Request(request) => Some(&request.id),
+        CallEvent::CallerGaveUp(id)
+        | CallEvent::CallerReleased(id)
+        | CallEvent::Answered { id, .. }
+        | CallEvent::SetUpFailed { id, .. }
+        | CallEvent::ExchangeReleased { id, .. }
+        | CallEvent::TimerExpired(CallTimer::AttemptTimeout(id, _) | CallTimer::Deadline(id)) => Some(id),
         _ => None,
     }
 }
 
-fn commanded_of(command: &Command) -> Option<&CallId> {
+fn commanded_of(command: &CallEffect) -> Option<&CallId> {
     match command {
-        Command::Near(_, id, _) | Command::Far(_, id, _) => Some(id),
+        CallEffect::Caller(_, id, _) | CallEffect::Exchange(_, id, _) => Some(id),
         _ => None,
     }
 }
@@ -56,7 +56,7 @@
         self.inner.stop(proxy)
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         for (proxy, inputs) in &told {
             for input in inputs {
                 if told_of(input).is_some_and(|id| self.calls.contains(id)) {
--- a/crates/lab/src/proxy/recorded.rs
+++ b/crates/lab/src/proxy/recorded.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use mallowring::calls::tenants::Tenant;
-use mallowring::calls::Command;
+use mallowring::calls::CallEffect;
 use mallowring::capture::{Entry, Start, What};
 use mallowring::interface::Time;
 use mallowring::Tuning;
@@ -48,13 +48,13 @@
         self.inner.stop(proxy)
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         for (proxy, inputs) in told {
             for input in inputs {
                 self.keep(proxy, now, What::Told(input.clone()));
                 let from = out.len();
                 self.inner.tick(now, vec![(proxy, vec![input])], out)?;
-                let commands: Vec<Command> = out[from..].iter().map(|(_, c)| c.clone()).collect();
+                let commands: Vec<CallEffect> = out[from..].iter().map(|(_, c)| c.clone()).collect();
                 if !commands.is_empty() {
                     self.keep(proxy, now, What::Commanded(commands));
                 }
--- a/crates/lab/src/proxy/shipped.rs
+++ b/crates/lab/src/proxy/shipped.rs
@@ -1,7 +1,7 @@
 //! The shipped call table with the shipped module: the very code that serves.
 
 use mallowring::calls::tenants::{Tenant, Tenants};
-use mallowring::calls::{Command, Table};
+use mallowring::calls::{CallEffect, Table};
 use mallowring::interface::Time;
 use mallowring::Tuning;
 
@@ -14,7 +14,7 @@
 pub struct Shipped {
     tuning: Tuning,
     tables: Vec<Option<Table>>,
-    commands: Vec<Command>,
+    commands: Vec<CallEffect>,
 }
 
 impl Shipped {
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         for (proxy, inputs) in told {
             let Some(Some(table)) = self.tables.get_mut(proxy) else { continue };
             for input in inputs {
--- a/crates/lab/src/proxy/twin.rs
+++ b/crates/lab/src/proxy/twin.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mallowring::calls::{Command, Far, Near};
-use mallowring::interface::{CallId, OfficeId, Time};
+use mallowring::calls::{CallEffect, CallerCommand, ExchangeCommand};
+use mallowring::interface::{CallId, ExchangeId, Time};
 use serde::Serialize;
 
 use super::{Levels, Seats, Told};
@@ -55,14 +55,16 @@
     }
 }
 
-fn decisions(commands: &[(usize, Command)]) -> BTreeMap<(usize, CallId), Vec<Decision>> {
+fn decisions(commands: &[(usize, CallEffect)]) -> BTreeMap<(usize, CallId), Vec<Decision>> {
     let mut by_call: BTreeMap<_, Vec<Decision>> = BTreeMap::new();
     for (proxy, command) in commands {
         let (id, decision) = match command {
-            Command::Far(OfficeId(office), id, Far::SetUp(_)) => (id, Decision::SetUp(*office)),
-            Command::Near(_, id, Near::Refuse(_)) => (id, Decision::Refuse),
-            Command::Near(_, id, Near::Fail) => (id, Decision::Fail),
-            Command::Near(_, id, Near::Reject(_)) => (id, Decision::Reject),
+            CallEffect::Exchange(ExchangeId(office), id, ExchangeCommand::SetUp(_)) => {
+                (id, Decision::SetUp(*office))
+            }
+            CallEffect::Caller(_, id, CallerCommand::Refuse(_)) => (id, Decision::Refuse),
+            CallEffect::Caller(_, id, CallerCommand::Fail) => (id, Decision::Fail),
+            CallEffect::Caller(_, id, CallerCommand::Reject(_)) => (id, Decision::Reject),
             _ => continue,
         };
         by_call.entry((*proxy, id.clone())).or_default().push(decision);
@@ -81,7 +83,7 @@
         self.second.stop(proxy)
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         let mut second = Vec::new();
         let from = out.len();
         self.second.tick(now, told.clone(), &mut second)?;
--- a/crates/lab/src/proxy/wire.rs
+++ b/crates/lab/src/proxy/wire.rs
@@ -9,7 +9,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use mallowring::calls::{Command, Far, Front, Input, Near, Request, SetUp, Wake, MARGIN};
+use mallowring::calls::{
+    CallEffect, CallEvent, CallTimer, CallerCommand, ExchangeCommand, Front, Request, SetUp, MARGIN,
+};
 use mallowring::interface::*;
 use serde_json::{json, Map, Value};
 
@@ -41,7 +43,7 @@
 #[derive(Clone, Debug)]
 struct Out {
     leg: u32,
-    office: OfficeId,
+    office: ExchangeId,
     sent: Time,
     stands: bool,
 }
@@ -52,7 +54,7 @@
     class: String,
     number: String,
     width: u32,
-    dest: ExchangeNo,
+    dest: ExchangeNumber,
     description: std::sync::Arc<[u8]>,
     until: Time,
     attempts: u32,
@@ -63,7 +65,7 @@
 #[derive(Debug, Default)]
 struct Instance {
     calls: BTreeMap<CallId, Kept>,
-    numbers: BTreeMap<OfficeId, ExchangeNo>,
+    numbers: BTreeMap<ExchangeId, ExchangeNumber>,
     /// Its first list is the one it held before.
     fresh: bool,
     max_attempts: u32,
@@ -180,7 +182,7 @@
     }
 
     /// Writes down what one proxy was told.
-    fn event(&mut self, now: Time, proxy: usize, input: Input, out: &mut Vec<(usize, Command)>) {
+    fn event(&mut self, now: Time, proxy: usize, input: CallEvent, out: &mut Vec<(usize, CallEffect)>) {
         let Some(instance) = self.instances.get_mut(&proxy) else { return };
         let mut put = |name: &str, body: Value| {
             let mut body = body;
@@ -192,7 +194,7 @@
             self.events.push(Value::Object(message));
         };
         match input {
-            Input::Request(mut request) => {
+            CallEvent::Request(mut request) => {
                 // The call table keeps so much back for its answer to arrive in time; so does whoever hosts this.
                 request.ttl = (request.ttl - MARGIN).max(0.0);
                 put("arrival", arrival(&request));
@@ -208,16 +210,19 @@
                 };
                 instance.calls.insert(request.id, kept);
             }
-            Input::GaveUp(id) | Input::Hangup(id) => {
+            CallEvent::CallerGaveUp(id) | CallEvent::CallerReleased(id) => {
                 let Some(call) = instance.calls.remove(&id) else { return };
                 put("withdrawn", json!({"request_id": wire_id(&id)}));
                 if let Some(o) = call.out {
-                    let far =
-                        if o.stands { Far::Release { leg: Some(o.leg) } } else { Far::GiveUp { leg: o.leg } };
-                    out.push((proxy, Command::Far(o.office, id, far)));
+                    let far = if o.stands {
+                        ExchangeCommand::Release { leg: Some(o.leg) }
+                    } else {
+                        ExchangeCommand::CancelSetUp { leg: o.leg }
+                    };
+                    out.push((proxy, CallEffect::Exchange(o.office, id, far)));
                 }
             }
-            Input::Answered { id, office, leg, description } => {
+            CallEvent::Answered { id, exchange: office, leg, description } => {
                 let found = instance.calls.get_mut(&id).and_then(|c| c.out.as_mut());
                 match found.filter(|o| o.office == office && leg.is_none_or(|l| l == o.leg)) {
                     Some(o) => {
@@ -227,33 +232,41 @@
                             json!({"request_id": wire_id(&id), "leg": o.leg, "office": office.0,
                                 "cost_time": now - o.sent}),
                         );
-                        out.push((proxy, Command::Near(Front::Platform, id, Near::Answer(description))));
+                        out.push((
+                            proxy,
+                            CallEffect::Caller(Front::Platform, id, CallerCommand::Answer(description)),
+                        ));
+                    }
+                    None => {
+                        out.push((proxy, CallEffect::Exchange(office, id, ExchangeCommand::Release { leg })))
                     }
-                    None => out.push((proxy, Command::Far(office, id, Far::Release { leg }))),
                 }
             }
-            Input::Ended { id, office, leg, outcome, why, report } => {
+            CallEvent::SetUpFailed { id, exchange: office, leg, outcome, cause: why, report } => {
                 let call = instance.calls.get_mut(&id);
                 let out = call.and_then(|c| c.out.take_if(|o| !o.stands && leg.is_none_or(|l| l == o.leg)));
                 match out {
                     Some(o) => put("answer", answer(&id, &o, office, (outcome, why), now, false, &report)),
                     // It crossed a giving up: what it reports is news all the same.
-                    None if report != Report::default() => put("status_back", status(office, &report)),
+                    None if report != LoadReport::default() => put("status_back", status(office, &report)),
                     None => {}
                 }
             }
-            Input::Released { id, office, whole, report } => {
+            CallEvent::ExchangeReleased { id, exchange: office, completed: whole, report } => {
                 let Some(call) = instance.calls.get(&id) else { return };
                 let Some(o) = call.out.clone().filter(|o| o.stands) else { return };
                 instance.calls.remove(&id);
-                let outcome = if whole { Outcome::Ended } else { Outcome::Reset };
-                put("answer", answer(&id, &o, office, (outcome, Why::Unsaid), now, true, &report));
-                out.push((proxy, Command::Near(Front::Platform, id, Near::Release { whole })));
+                let outcome = if whole { Outcome::Completed } else { Outcome::Reset };
+                put("answer", answer(&id, &o, office, (outcome, Cause::Unspecified), now, true, &report));
+                out.push((
+                    proxy,
+                    CallEffect::Caller(Front::Platform, id, CallerCommand::Release { completed: whole }),
+                ));
             }
-            Input::Status { office, report } => {
+            CallEvent::Status { exchange: office, report } => {
                 put("status_back", status(office, &report));
             }
-            Input::List { whole, offices } => {
+            CallEvent::Roster { full: whole, entries: offices } => {
                 self.version += 1;
                 let slot = self.slot;
                 self.slot = (self.slot + 1) % 16;
@@ -273,35 +286,40 @@
                 self.events.insert(at, json!({"manifest": {"slot": slot, "elements": entries}}));
                 self.gone(now, proxy, whole, &offices, out);
             }
-            Input::Woken(Wake::Module(token)) => put("ring", json!({"ref": token.0})),
-            Input::Woken(Wake::Abandon(id, leg)) => {
+            CallEvent::TimerExpired(CallTimer::Controller(token)) => put("ring", json!({"ref": token.0})),
+            CallEvent::TimerExpired(CallTimer::AttemptTimeout(id, leg)) => {
                 let Some(call) = instance.calls.get_mut(&id) else { return };
                 let Some(o) = call.out.take_if(|o| o.leg == leg && !o.stands) else { return };
-                out.push((proxy, Command::Far(o.office, id.clone(), Far::GiveUp { leg })));
-                let (end, report) = ((Outcome::TimedOut, Why::Unsaid), Report::default());
+                out.push((
+                    proxy,
+                    CallEffect::Exchange(o.office, id.clone(), ExchangeCommand::CancelSetUp { leg }),
+                ));
+                let (end, report) = ((Outcome::TimedOut, Cause::Unspecified), LoadReport::default());
                 put("answer", answer(&id, &o, o.office, end, now, false, &report));
             }
             // The end of a caller's time and the death of an exchange are the world's to tell.
             // The wire has no word for the last: its states never cease.
-            Input::Woken(Wake::Deadline(_)) | Input::Died(_) | Input::Unheard(_) => {}
+            CallEvent::TimerExpired(CallTimer::Deadline(_))
+            | CallEvent::ExchangeDown(_)
+            | CallEvent::StatusLost(_) => {}
         }
     }
 
     /// Sends the events that were written down, and carries the answers out. What an action brings about at once is
     /// told in a further batch of the same moment.
-    fn answer_events(&mut self, now: Time, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn answer_events(&mut self, now: Time, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         while !self.events.is_empty() {
             let mut again = Vec::new();
             for action in self.exchange(now)? {
                 if let Some((proxy, command)) = self.act(now, &action, &mut again)? {
                     let until = match &command {
-                        Command::Far(_, id, Far::SetUp(s)) => {
-                            Some((s.until, Wake::Abandon(id.clone(), s.leg)))
+                        CallEffect::Exchange(_, id, ExchangeCommand::SetUp(s)) => {
+                            Some((s.abandon_at, CallTimer::AttemptTimeout(id.clone(), s.leg)))
                         }
                         _ => None,
                     };
                     out.push((proxy, command));
-                    out.extend(until.map(|(at, wake)| (proxy, Command::Wake(at, wake))));
+                    out.extend(until.map(|(at, wake)| (proxy, CallEffect::StartTimer(at, wake))));
                 }
             }
             for (proxy, input) in again {
@@ -317,13 +335,13 @@
         now: Time,
         proxy: usize,
         whole: bool,
-        offices: &[Office],
-        out: &mut Vec<(usize, Command)>,
+        offices: &[RosterEntry],
+        out: &mut Vec<(usize, CallEffect)>,
     ) {
         let Some(instance) = self.instances.get(&proxy) else { return };
-        let is_gone = |id: OfficeId| {
+        let is_gone = |id: ExchangeId| {
             let listed = offices.iter().find(|o| o.id == id);
-            listed.map_or(whole, |o| o.condition == Condition::Off)
+            listed.map_or(whole, |o| o.state == ServiceState::Removed)
         };
         let broken = |(id, call): (&CallId, &Kept)| {
             let o = call.out.as_ref().filter(|o| is_gone(o.office))?;
@@ -331,12 +349,12 @@
         };
         let broken: Vec<_> = instance.calls.iter().filter_map(broken).collect();
         for (id, office, leg, stands) in broken {
-            let report = Report::default();
+            let report = LoadReport::default();
             let input = if stands {
-                Input::Released { id, office, whole: false, report }
+                CallEvent::ExchangeReleased { id, exchange: office, completed: false, report }
             } else {
-                let (outcome, why) = (Outcome::Reset, Why::Unsaid);
-                Input::Ended { id, office, leg: Some(leg), outcome, why, report }
+                let (outcome, why) = (Outcome::Reset, Cause::Unspecified);
+                CallEvent::SetUpFailed { id, exchange: office, leg: Some(leg), outcome, cause: why, report }
             };
             self.event(now, proxy, input, out);
         }
@@ -347,8 +365,8 @@
         &mut self,
         now: Time,
         action: &Value,
-        again: &mut Vec<(usize, Input)>,
-    ) -> Result<Option<(usize, Command)>, LabError> {
+        again: &mut Vec<(usize, CallEvent)>,
+    ) -> Result<Option<(usize, CallEffect)>, LabError> {
         let shape = || format!("says what is no action: {}", cut(&action.to_string()));
         let one = action.as_object().filter(|o| o.len() == 1).and_then(|o| o.iter().next());
         let Some((name, body)) = one else { return Err(self.fault(shape())) };
@@ -361,15 +379,26 @@
         let Some(instance) = self.instances.get_mut(&proxy) else { return Ok(None) };
         let command = match (name.as_str(), id) {
             ("attempt", Some(id)) => {
-                let office = body.get("office").and_then(Value::as_u64).map(OfficeId);
+                let office = body.get("office").and_then(Value::as_u64).map(ExchangeId);
                 let Some(office) = office else { return Err(self.fault(shape())) };
                 let Some(call) = instance.calls.get_mut(&id) else { return Ok(None) };
                 let leg = call.attempts;
                 call.attempts += 1;
                 if leg >= instance.max_attempts {
-                    let (outcome, why, report) = (Outcome::Moot, Why::Unsaid, Report::default());
+                    let (outcome, why, report) =
+                        (Outcome::NotSent, Cause::Unspecified, LoadReport::default());
                     call.out = Some(Out { leg, office, sent: now, stands: false });
-                    again.push((proxy, Input::Ended { id, office, leg: Some(leg), outcome, why, report }));
+                    again.push((
+                        proxy,
+                        CallEvent::SetUpFailed {
+                            id,
+                            exchange: office,
+                            leg: Some(leg),
+                            outcome,
+                            cause: why,
+                            report,
+                        },
+                    ));
                     return Ok(None);
                 }
                 let until = number("abandon_at").filter(|at| *at > 0.0).map_or(call.until, Time);
@@ -382,27 +411,37 @@
                     width: call.width,
                     direct: instance.numbers.get(&office) == Some(&call.dest),
                     description: call.description.clone(),
-                    until,
+                    abandon_at: until,
                 };
-                Command::Far(office, id, Far::SetUp(set_up))
+                CallEffect::Exchange(office, id, ExchangeCommand::SetUp(set_up))
             }
             ("say_no", Some(id)) => {
                 instance.calls.remove(&id);
-                Command::Near(Front::Platform, id, Near::Refuse(number("cool_down").filter(|c| *c > 0.0)))
+                CallEffect::Caller(
+                    Front::Platform,
+                    id,
+                    CallerCommand::Refuse(number("cool_down").filter(|c| *c > 0.0)),
+                )
             }
             ("fail", Some(id)) => {
                 instance.calls.remove(&id);
-                Command::Near(Front::Platform, id, Near::Fail)
+                CallEffect::Caller(Front::Platform, id, CallerCommand::Fail)
             }
             ("undo_send", Some(id)) => {
                 let leg = body.get("leg").and_then(Value::as_u64).unwrap_or(0) as u32;
                 let Some(call) = instance.calls.get(&id) else { return Ok(None) };
                 let Some(o) = call.out.clone().filter(|o| o.leg == leg && !o.stands) else { return Ok(None) };
-                let (outcome, why, report) = (Outcome::Cancelled, Why::Unsaid, Report::default());
-                let ended =
-                    Input::Ended { id: id.clone(), office: o.office, leg: Some(leg), outcome, why, report };
+                let (outcome, why, report) = (Outcome::Cancelled, Cause::Unspecified, LoadReport::default());
+                let ended = CallEvent::SetUpFailed {
+                    id: id.clone(),
+                    exchange: o.office,
+                    leg: Some(leg),
+                    outcome,
+                    cause: why,
+                    report,
+                };
                 again.push((proxy, ended));
-                Command::Far(o.office, id, Far::GiveUp { leg })
+                CallEffect::Exchange(o.office, id, ExchangeCommand::CancelSetUp { leg })
             }
             ("wake_at", _) => {
                 let (Some(after), Some(token)) =
@@ -410,11 +449,11 @@
                 else {
                     return Err(self.fault(shape()));
                 };
-                Command::Wake(now + after.max(0.0), Wake::Module(Token(token)))
+                CallEffect::StartTimer(now + after.max(0.0), CallTimer::Controller(TimerToken(token)))
             }
             ("trace", _) => {
                 let text = body.get("body_text").and_then(Value::as_str).unwrap_or_default();
-                Command::Log(text.to_owned())
+                CallEffect::Log(text.to_owned())
             }
             ("crash", _) => {
                 let text = body.get("body_text").and_then(Value::as_str).unwrap_or("nothing said");
@@ -445,7 +484,7 @@
         Ok(())
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         // One input of each proxy at a time: what it does about the first is done before it hears the second, as
         // in the call table.
         let mut told: Vec<_> = told.into_iter().map(|(proxy, inputs)| (proxy, inputs.into_iter())).collect();
@@ -511,7 +550,7 @@
         "priority": request.class, "item": request.number,
     });
     for (key, set) in
-        [("midflow", request.transit), ("came_back", request.came_back), ("resent", request.resent)]
+        [("midflow", request.transit), ("came_back", request.re_established), ("resent", request.redial)]
     {
         if let (true, Some(fields)) = (set, body.as_object_mut()) {
             fields.insert(key.to_owned(), Value::Bool(true));
@@ -526,13 +565,13 @@
     [ms, ms.next_up(), ms.next_down()].into_iter().find(|ms| ms / 1000.0 == wait).unwrap_or(ms)
 }
 
-fn stats(report: &Report) -> Value {
+fn stats(report: &LoadReport) -> Value {
     let mut stats = Map::new();
     let fields = [
-        ("idle", report.free),
-        ("circuits", report.size),
-        ("reduce", report.hold_back),
-        ("avg_ms", report.wait.map(in_ms)),
+        ("idle", report.free_circuits),
+        ("circuits", report.group_size),
+        ("reduce", report.requested_reduction),
+        ("avg_ms", report.queueing_delay.map(in_ms)),
     ];
     for (key, value) in fields {
         stats.insert(key.to_owned(), json!(value.unwrap_or(-1.0)));
@@ -540,46 +579,46 @@
     Value::Object(stats)
 }
 
-fn status(office: OfficeId, report: &Report) -> Value {
+fn status(office: ExchangeId, report: &LoadReport) -> Value {
     json!({"office": office.0, "verdict": 0, "cost_time": 0.0, "server_stats": stats(report)})
 }
 
 fn answer(
     id: &CallId,
     out: &Out,
-    office: OfficeId,
-    (outcome, why): (Outcome, Why),
+    office: ExchangeId,
+    (outcome, why): (Outcome, Cause),
     now: Time,
     closed: bool,
-    report: &Report,
+    report: &LoadReport,
 ) -> Value {
     let verdict = match outcome {
-        Outcome::Ended => 0,
+        Outcome::Completed => 0,
         Outcome::Error => 5,
-        Outcome::Full => 11,
+        Outcome::Refused => 11,
         Outcome::TimedOut => 110,
         Outcome::ConnectFailed => 111,
         Outcome::Reset => 104,
         Outcome::Cancelled => 125,
-        Outcome::Moot => 114,
+        Outcome::NotSent => 114,
     };
     let note = match why {
-        Why::Unsaid => 0,
-        Why::NoCircuit => 1,
-        Why::TurnedBack => 2,
-        Why::BeyondFull => 18,
-        Why::ProcessorFull => 3,
-        Why::LinesBusy => 4,
+        Cause::Unspecified => 0,
+        Cause::NoCircuit => 1,
+        Cause::Crankback => 2,
+        Cause::FarProcessorFull => 18,
+        Cause::ProcessorFull => 3,
+        Cause::LinesBusy => 4,
     };
     json!({"request_id": wire_id(id), "leg": out.leg, "office": office.0, "verdict": verdict,
         "cost_time": now - out.sent, "why": note, "closed": closed, "server_stats": stats(report)})
 }
 
-fn entry(office: &Office) -> Value {
-    let condition = match office.condition {
-        Condition::On => "on",
-        Condition::Draining => "fading",
-        Condition::Off => "off",
+fn entry(office: &RosterEntry) -> Value {
+    let condition = match office.state {
+        ServiceState::InService => "on",
+        ServiceState::Draining => "fading",
+        ServiceState::Removed => "off",
     };
     json!({"office": office.id.0, "az": office.zone, "machine": "single-core", "number": office.number.0,
         "condition": condition, "weight": office.weight, "ready_at": office.ready_at.map_or(0.0, |t| t.0)})
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -1,7 +1,7 @@
 //! The paper's procedure for thresholds (section 3.3), walked on the modelled processor: set-ups come evenly at
 //! random, a controller samples the depth of the line, and turns away the share of its level.
 
-use mallowring::interface::OfficeId;
+use mallowring::interface::ExchangeId;
 use rand_distr::{Distribution, Exp1};
 use serde::Serialize;
 
@@ -100,7 +100,7 @@
 /// Plays a steady load.
 pub fn steady(thresholds: &Thresholds, offered: f64, seconds: f64, seed: u64) -> Steady {
     let works = works();
-    let mut processor = Processor::new(OfficeId(1), works, None);
+    let mut processor = Processor::new(ExchangeId(1), works, None);
     let mut arrivals = stream(seed, Purpose::Arrivals, 0);
     let mut work = stream(seed, Purpose::Work, 0);
     let gap = works.set_up_us / offered;
--- a/crates/lab/src/study/verify.rs
+++ b/crates/lab/src/study/verify.rs
@@ -196,7 +196,7 @@
         &mut self,
         now: mallowring::interface::Time,
         told: Told,
-        out: &mut Vec<(usize, mallowring::calls::Command)>,
+        out: &mut Vec<(usize, mallowring::calls::CallEffect)>,
     ) -> Result<(), LabError> {
         self.inner.tick(now, told, out)?;
         for (proxy, last) in self.last.iter_mut().enumerate() {
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use mallowring::calls::{Front, Input, Request};
+use mallowring::calls::{CallEvent, Front, Request};
 use mallowring::interface::*;
 
 use super::group::Group;
@@ -30,7 +30,7 @@
             self.queue.put(self.now + (ttl as f64 * part) as Us, Ev::Leave(ask));
         }
         let request = self.request(ask, ttl, hop, resent, came_back);
-        self.deliver(c.origin, Input::Request(request));
+        self.deliver(c.origin, CallEvent::Request(request));
     }
 
     pub(super) fn new_ask(&mut self, caller: u32, at: usize, from: Option<LegIx>) -> AskIx {
@@ -45,7 +45,7 @@
             leg: None,
             attempts: 0,
             blocked: 0,
-            why: Why::Unsaid,
+            why: Cause::Unspecified,
         });
         self.proxies[at].open.insert(ix);
         ix
@@ -67,11 +67,11 @@
             tenant: Some(self.day.tenants[c.tenant].name.clone()),
             ttl: ttl as f64 / SECOND as f64,
             transit: self.asks[ask as usize].from.is_some(),
-            hop: hop.map(|x| ExchangeNo(x as i64)),
-            came_back,
-            resent: resent && self.day.callers.marked,
+            hop: hop.map(|x| ExchangeNumber(x as i64)),
+            re_established: came_back,
+            redial: resent && self.day.callers.marked,
             width: c.width,
-            dest: ExchangeNo(c.dest as i64),
+            dest: ExchangeNumber(c.dest as i64),
             number: format!("{}-{}", c.dest, c.number),
             description: Arc::from(&b"caller"[..]),
         }
@@ -111,7 +111,7 @@
         self.proxies[at].open.remove(&ask);
         self.fates[caller as usize].ended = self.now;
         self.ends.left += 1;
-        self.deliver(at, Input::GaveUp(id_of(ask)));
+        self.deliver(at, CallEvent::CallerGaveUp(id_of(ask)));
     }
 
     /// The time of a request is over: if it had no final answer by now, a rule is broken.
@@ -130,7 +130,7 @@
             Some(id_of(ask).0),
             "no final answer in time",
         );
-        self.deliver(at, Input::GaveUp(id_of(ask)));
+        self.deliver(at, CallEvent::CallerGaveUp(id_of(ask)));
         if root {
             self.try_ended(caller, None);
         }
--- a/crates/lab/src/world/exchange.rs
+++ b/crates/lab/src/world/exchange.rs
@@ -1,6 +1,6 @@
 //! Exchanges: their place on the roster, their reports, their stops and starts.
 
-use mallowring::calls::Input;
+use mallowring::calls::CallEvent;
 use mallowring::interface::*;
 use rand_distr::{Distribution, StandardNormal};
 
@@ -14,10 +14,10 @@
 
 impl World<'_> {
     /// A new id. Ids tell nothing of place or age.
-    pub(super) fn new_office(&mut self, exchange: usize) -> OfficeId {
+    pub(super) fn new_office(&mut self, exchange: usize) -> ExchangeId {
         let count = self.exchange_of.len() as u64 + 1;
         // An odd factor: all ids below 2^32 differ.
-        let id = OfficeId(count.wrapping_mul(2_654_435_761) & 0xffff_ffff);
+        let id = ExchangeId(count.wrapping_mul(2_654_435_761) & 0xffff_ffff);
         self.exchange_of.insert(id, exchange);
         id
     }
@@ -25,22 +25,22 @@
     pub(super) fn entry(
         &self,
         exchange: usize,
-        id: OfficeId,
-        condition: Condition,
+        id: ExchangeId,
+        condition: ServiceState,
         at: Option<Us>,
-    ) -> Office {
-        Office {
+    ) -> RosterEntry {
+        RosterEntry {
             id,
             zone: self.day.regions[self.day.region[exchange]].clone(),
-            number: ExchangeNo(exchange as i64),
-            condition,
+            number: ExchangeNumber(exchange as i64),
+            state: condition,
             weight: 1.0,
             ready_at: at.map(clock),
         }
     }
 
     /// The roster has news: each proxy is told some time after they are known.
-    pub(super) fn announce(&mut self, known: Us, office: Office) {
+    pub(super) fn announce(&mut self, known: Us, office: RosterEntry) {
         let news = self.news.len();
         for proxy in 0..self.day.n {
             let late = noise(self.day.seed, news as u64, proxy as u64) * self.day.spread as f64;
@@ -60,10 +60,10 @@
             return;
         }
         let office = self.news[news].1.clone();
-        if office.condition != Condition::On {
+        if office.state != ServiceState::InService {
             self.watch.told(proxy, office.id, self.now);
         }
-        self.deliver(proxy, Input::List { whole: false, offices: vec![office] });
+        self.deliver(proxy, CallEvent::Roster { full: false, entries: vec![office] });
     }
 
     /// A processor takes its figures, to be known later.
@@ -83,7 +83,7 @@
     }
 
     /// What comes along with the end of a leg: the group as it is, the far processor as it was.
-    pub(super) fn report(&mut self, leg: LegIx) -> Report {
+    pub(super) fn report(&mut self, leg: LegIx) -> LoadReport {
         let leg = &self.legs[leg as usize];
         let figures = &mut self.figures[leg.to];
         while figures.get(1).is_some_and(|f| f.known <= self.now) {
@@ -91,12 +91,12 @@
         }
         let known = figures.front().filter(|f| f.known <= self.now);
         let group = self.groups.get(leg.group);
-        Report {
-            free: group.map(|g| f64::from(g.free())),
-            size: group.map(|g| f64::from(g.working)),
-            wait: known.map(|f| f.wait),
-            hold_back: known.map(|f| f.hold_back),
-            ..Report::default()
+        LoadReport {
+            free_circuits: group.map(|g| f64::from(g.free())),
+            group_size: group.map(|g| f64::from(g.working)),
+            queueing_delay: known.map(|f| f.wait),
+            requested_reduction: known.map(|f| f.hold_back),
+            ..LoadReport::default()
         }
     }
 
@@ -122,7 +122,7 @@
         self.processors[exchange].slow = old.slow;
         old.stop();
         self.retired.push(old);
-        let entry = self.entry(exchange, office, Condition::On, Some(self.now));
+        let entry = self.entry(exchange, office, ServiceState::InService, Some(self.now));
         self.announce(self.now + self.day.planned, entry);
     }
 
--- a/crates/lab/src/world/flow.rs
+++ b/crates/lab/src/world/flow.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use mallowring::calls::{Far, Input, Near, SetUp};
+use mallowring::calls::{CallEvent, CallerCommand, ExchangeCommand, SetUp};
 use mallowring::interface::*;
 
 use super::processor::{Task, Up};
@@ -24,14 +24,14 @@
         (ask.at == proxy && ask.generation == self.proxies[proxy].generation).then_some(ix)
     }
 
-    pub(super) fn near(&mut self, proxy: usize, id: &CallId, near: Near) {
+    pub(super) fn near(&mut self, proxy: usize, id: &CallId, near: CallerCommand) {
         let Some(ix) = self.own_ask(proxy, id) else {
             let what = "an answer to a call that it was never asked for";
             return self.watch.broke(Rule::FinalAnswer, self.now, Some(proxy), Some(id.0.clone()), what);
         };
         let state = self.asks[ix as usize].state;
         match near {
-            Near::Release { .. } => {
+            CallerCommand::Release { .. } => {
                 // What an exchange or a caller ended is over already; else the proxy has cut the call.
                 if state == AskState::Standing {
                     if let Some(leg) = self.asks[ix as usize].leg {
@@ -39,14 +39,14 @@
                     }
                 }
             }
-            Near::Answer(said) => {
+            CallerCommand::Answer(said) => {
                 if state == AskState::Open {
                     return self.stands(ix, &said);
                 }
                 self.answered_twice(ix, state);
             }
-            Near::Refuse(cool_down) => self.turned_down(ix, state, cool_down),
-            Near::Fail | Near::Reject(_) => self.turned_down(ix, state, None),
+            CallerCommand::Refuse(cool_down) => self.turned_down(ix, state, cool_down),
+            CallerCommand::Fail | CallerCommand::Reject(_) => self.turned_down(ix, state, None),
         }
     }
 
@@ -80,10 +80,10 @@
             return self.try_ended(caller, cool_down);
         };
         self.ends.turned_back += 1;
-        let why = if why == Why::ProcessorFull { Why::BeyondFull } else { Why::TurnedBack };
+        let why = if why == Cause::ProcessorFull { Cause::FarProcessorFull } else { Cause::Crankback };
         let back = self.legs[leg as usize].from;
         let at = self.arrival(at, back);
-        self.queue.put(at, Ev::EndAt(leg, Outcome::Full, why));
+        self.queue.put(at, Ev::EndAt(leg, Outcome::Refused, why));
     }
 
     fn stands(&mut self, ix: AskIx, said: &[u8]) {
@@ -128,15 +128,15 @@
 
     // ---- What a proxy says to an exchange --------------------------------------------------------
 
-    pub(super) fn far(&mut self, proxy: usize, office: OfficeId, id: &CallId, far: Far) {
+    pub(super) fn far(&mut self, proxy: usize, office: ExchangeId, id: &CallId, far: ExchangeCommand) {
         let Some(ix) = self.own_ask(proxy, id) else { return };
         match far {
-            Far::SetUp(set_up) => self.attempt(proxy, ix, office, &set_up),
-            Far::GiveUp { leg } | Far::Release { leg: Some(leg) } => {
+            ExchangeCommand::SetUp(set_up) => self.attempt(proxy, ix, office, &set_up),
+            ExchangeCommand::CancelSetUp { leg } | ExchangeCommand::Release { leg: Some(leg) } => {
                 let found = self.asks[ix as usize].leg.filter(|l| self.legs[*l as usize].number == leg);
                 found.into_iter().for_each(|leg| self.let_go(leg));
             }
-            Far::Release { leg: None } => {
+            ExchangeCommand::Release { leg: None } => {
                 let found = self.asks[ix as usize].leg;
                 found.into_iter().for_each(|leg| self.let_go(leg));
             }
@@ -144,7 +144,7 @@
     }
 
     /// Checks an attempt against the rules and sends it on its way.
-    fn attempt(&mut self, proxy: usize, ix: AskIx, office: OfficeId, set_up: &SetUp) {
+    fn attempt(&mut self, proxy: usize, ix: AskIx, office: ExchangeId, set_up: &SetUp) {
         let (now, day) = (self.now, self.day);
         let ask = &self.asks[ix as usize];
         let dest = self.callers[ask.caller as usize].dest;
@@ -183,7 +183,7 @@
             holds: false,
             state: LegState::Flying,
             answered: false,
-            until: moment(set_up.until).max(now),
+            until: moment(set_up.abandon_at).max(now),
             child: None,
         });
         let ask = &mut self.asks[ix as usize];
@@ -191,14 +191,14 @@
         (ask.out, ask.leg) = (Some(leg), Some(leg));
         // A send to oneself, which a rule has caught, has no group to go over.
         if self.groups.get(group).is_none() || (transit && to != dest) {
-            return self.end_leg(leg, Outcome::Error, Why::Unsaid);
+            return self.end_leg(leg, Outcome::Error, Cause::Unspecified);
         }
         if self.processors[proxy].up == Up::Down {
-            return self.end_leg(leg, Outcome::Moot, Why::ProcessorFull);
+            return self.end_leg(leg, Outcome::NotSent, Cause::ProcessorFull);
         }
         let seized = self.groups[group].seize(c.width);
         if !seized {
-            return self.end_leg(leg, Outcome::Moot, Why::NoCircuit);
+            return self.end_leg(leg, Outcome::NotSent, Cause::NoCircuit);
         }
         self.legs[leg as usize].holds = true;
         self.active.insert(leg);
@@ -208,7 +208,7 @@
         }
         if self.processors[proxy].is_full(now) {
             self.work(proxy, Task::Refuse);
-            return self.end_leg(leg, Outcome::Moot, Why::ProcessorFull);
+            return self.end_leg(leg, Outcome::NotSent, Cause::ProcessorFull);
         }
         self.work(proxy, Task::SetUpNear(leg));
     }
@@ -261,7 +261,7 @@
         let alive = l.state == LegState::Flying;
         let processor = &self.processors[to];
         if processor.up == Up::Down || processor.office != office {
-            return self.turn_away(leg, Outcome::ConnectFailed, Why::Unsaid);
+            return self.turn_away(leg, Outcome::ConnectFailed, Cause::Unspecified);
         }
         if self.pushed_over(to) {
             return;
@@ -269,7 +269,7 @@
         if self.processors[to].is_full(self.now) {
             self.work(to, Task::Refuse);
             self.ends.full += u64::from(alive);
-            return self.turn_away(leg, Outcome::Full, Why::ProcessorFull);
+            return self.turn_away(leg, Outcome::Refused, Cause::ProcessorFull);
         }
         let caller = self.asks[ask as usize].caller;
         if self.callers[caller as usize].dest == to {
@@ -280,7 +280,7 @@
             return;
         }
         if !self.proxies[to].up {
-            return self.turn_away(leg, Outcome::ConnectFailed, Why::Unsaid);
+            return self.turn_away(leg, Outcome::ConnectFailed, Cause::Unspecified);
         }
         self.work(to, Task::Look);
         if alive && until > self.now {
@@ -288,19 +288,19 @@
             self.legs[leg as usize].child = Some(child);
             self.queue.put(until + self.day.slack, Ev::Overdue(child));
             let request = self.request(child, until - self.now, Some(from), false, false);
-            self.deliver(to, Input::Request(request));
+            self.deliver(to, CallEvent::Request(request));
         }
     }
 
     /// The far end turns a set-up away; its word goes back.
-    fn turn_away(&mut self, leg: LegIx, outcome: Outcome, why: Why) {
+    fn turn_away(&mut self, leg: LegIx, outcome: Outcome, why: Cause) {
         let (from, to) = (self.legs[leg as usize].from, self.legs[leg as usize].to);
         let at = self.arrival(to, from);
         self.queue.put(at, Ev::EndAt(leg, outcome, why));
     }
 
     /// The end of a set-up that never stood reaches its proxy.
-    pub(super) fn end_leg(&mut self, leg: LegIx, outcome: Outcome, why: Why) {
+    pub(super) fn end_leg(&mut self, leg: LegIx, outcome: Outcome, why: Cause) {
         let l = &mut self.legs[leg as usize];
         if l.state != LegState::Flying {
             return;
@@ -316,7 +316,10 @@
         self.ends.count(outcome, why);
         let report = self.report(leg);
         let id = id_of(ask);
-        self.deliver(from, Input::Ended { id, office, leg: Some(number), outcome, why, report });
+        self.deliver(
+            from,
+            CallEvent::SetUpFailed { id, exchange: office, leg: Some(number), outcome, cause: why, report },
+        );
     }
 
     pub(super) fn job_done(&mut self, exchange: usize, serial: u64) {
@@ -376,7 +379,10 @@
                     (l.state, l.answered) = (LegState::Answered, true);
                     let (id, office, number, from) = (id_of(l.ask), l.office, l.number, l.from);
                     let description = description(leg);
-                    self.deliver(from, Input::Answered { id, office, leg: Some(number), description });
+                    self.deliver(
+                        from,
+                        CallEvent::Answered { id, exchange: office, leg: Some(number), description },
+                    );
                 }
             }
             Task::ReleaseNear(leg) => self.release_told(leg, true),
@@ -394,7 +400,10 @@
         self.free(leg);
         self.asks[ask as usize].out = None;
         let report = self.report(leg);
-        self.deliver(from, Input::Released { id: id_of(ask), office, whole, report });
+        self.deliver(
+            from,
+            CallEvent::ExchangeReleased { id: id_of(ask), exchange: office, completed: whole, report },
+        );
     }
 
     pub(super) fn free(&mut self, leg: LegIx) {
@@ -493,7 +502,7 @@
             LegState::Flying => {
                 self.free(leg);
                 let at = self.arrival(to, from);
-                self.queue.put(at, Ev::EndAt(leg, Outcome::Reset, Why::Unsaid));
+                self.queue.put(at, Ev::EndAt(leg, Outcome::Reset, Cause::Unspecified));
             }
             // The answer is on its way to the origin: the call will not stand there.
             LegState::Answered => {
@@ -524,7 +533,7 @@
         ask.state = AskState::Left;
         self.proxies[at].open.remove(&ix);
         if generation == self.proxies[at].generation && self.proxies[at].up {
-            self.deliver(at, Input::GaveUp(id_of(ix)));
+            self.deliver(at, CallEvent::CallerGaveUp(id_of(ix)));
         } else if let Some(leg) = leg {
             // The proxy that sent it on has died since: its connections are gone, and with them the set-up.
             self.let_go(leg);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,5 +1,5 @@
 //! The world: exchanges, groups, processors, callers and troubles in simulated time. It knows the proxies only by
-//! what they are told and what they command, in the call table's own words ([`Input`], [`Command`]).
+//! what they are told and what they command, in the call table's own words ([`CallEvent`], [`CallEffect`]).
 
 pub mod account;
 mod callers;
@@ -15,7 +15,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use mallowring::calls::{Command, Input, Wake};
+use mallowring::calls::{CallEffect, CallEvent, CallTimer};
 use mallowring::interface::*;
 use rand_pcg::Pcg64;
 
@@ -67,7 +67,7 @@
     /// An answer reaches the near end of its leg.
     AnswerAt(LegIx),
     /// The end of a set-up reaches the near end of its leg.
-    EndAt(LegIx, Outcome, Why),
+    EndAt(LegIx, Outcome, Cause),
     /// The giving up of a call in transit reaches its tandem.
     CancelAt(AskIx),
     /// Circuits of a leg that was given up fall free.
@@ -87,7 +87,7 @@
     /// A trouble begins or goes on.
     Trouble(trouble::Step),
     /// A proxy's timer.
-    Wake { proxy: usize, generation: u32, wake: Wake },
+    Wake { proxy: usize, generation: u32, wake: CallTimer },
 }
 
 /// Where a request to a proxy stands.
@@ -120,7 +120,7 @@
     /// No send before this.
     blocked: Us,
     /// How the last attempt was turned away.
-    why: Why,
+    why: Cause,
 }
 
 /// Where an attempt stands.
@@ -143,7 +143,7 @@
     number: u32,
     from: usize,
     to: usize,
-    office: OfficeId,
+    office: ExchangeId,
     group: usize,
     width: u32,
     holds: bool,
@@ -160,7 +160,7 @@
 struct Seat {
     up: bool,
     generation: u32,
-    inbox: Vec<Input>,
+    inbox: Vec<CallEvent>,
     open: BTreeSet<AskIx>,
     /// Its roster has stopped until then; what it should have been told by now.
     deaf_until: Us,
@@ -200,10 +200,10 @@
     asks: Vec<Ask>,
     legs: Vec<Leg>,
     active: BTreeSet<LegIx>,
-    exchange_of: BTreeMap<OfficeId, usize>,
+    exchange_of: BTreeMap<ExchangeId, usize>,
     /// Offices that were taken out of service or died.
-    gone: BTreeSet<OfficeId>,
-    news: Vec<(Us, Office)>,
+    gone: BTreeSet<ExchangeId>,
+    news: Vec<(Us, RosterEntry)>,
     next_tick: Option<Us>,
     last_tick: Option<Us>,
     fates: Vec<Fate>,
@@ -291,7 +291,7 @@
         for exchange in 0..self.day.n {
             let office = self.new_office(exchange);
             self.processors.push(Processor::new(office, self.day.works, None));
-            let entry = self.entry(exchange, office, Condition::On, None);
+            let entry = self.entry(exchange, office, ServiceState::InService, None);
             self.news.push((0, entry));
             self.put_periodic(self.day.report_period, Ev::Figures(exchange));
         }
@@ -344,7 +344,7 @@
             Ev::Trouble(step) => self.trouble(step)?,
             Ev::Wake { proxy, generation, wake } => {
                 if self.proxies[proxy].generation == generation {
-                    self.deliver(proxy, Input::Woken(wake));
+                    self.deliver(proxy, CallEvent::TimerExpired(wake));
                 }
             }
         }
@@ -360,17 +360,18 @@
         // Seeds on the wire are whole numbers that a double can hold.
         self.seats.start(self.day, proxy, clock(self.now), seed >> 11)?;
         self.proxies[proxy].up = true;
-        let mut listed: BTreeMap<OfficeId, Office> = BTreeMap::new();
+        let mut listed: BTreeMap<ExchangeId, RosterEntry> = BTreeMap::new();
         for (known, office) in &self.news {
             if *known <= self.now {
                 listed.insert(office.id, office.clone());
             }
         }
-        let offices: Vec<Office> = listed.into_values().filter(|o| o.condition != Condition::Off).collect();
-        for office in offices.iter().filter(|o| o.condition != Condition::On) {
+        let offices: Vec<RosterEntry> =
+            listed.into_values().filter(|o| o.state != ServiceState::Removed).collect();
+        for office in offices.iter().filter(|o| o.state != ServiceState::InService) {
             self.watch.told(proxy, office.id, self.now);
         }
-        self.deliver(proxy, Input::List { whole: true, offices });
+        self.deliver(proxy, CallEvent::Roster { full: true, entries: offices });
         for far in (0..self.day.n).filter(|x| *x != proxy) {
             let input = self.status(proxy, far);
             self.deliver(proxy, input);
@@ -379,7 +380,7 @@
     }
 
     /// Puts something into a proxy's inbox; it is handled at its next tick.
-    fn deliver(&mut self, proxy: usize, input: Input) {
+    fn deliver(&mut self, proxy: usize, input: CallEvent) {
         if self.proxies[proxy].up {
             self.proxies[proxy].inbox.push(input);
             self.want_tick();
@@ -418,7 +419,7 @@
         }
         for (_, inputs) in &told {
             for input in inputs {
-                if let Input::Ended { id, outcome, why, .. } = input {
+                if let CallEvent::SetUpFailed { id, outcome, cause: why, .. } = input {
                     self.attempt_ended(id, *outcome, *why);
                 }
             }
@@ -431,21 +432,21 @@
         }
         for (proxy, command) in commands {
             match command {
-                Command::Near(_, id, near) => self.near(proxy, &id, near),
-                Command::Far(office, id, far) => self.far(proxy, office, &id, far),
-                Command::Wake(at, wake) => {
+                CallEffect::Caller(_, id, near) => self.near(proxy, &id, near),
+                CallEffect::Exchange(office, id, far) => self.far(proxy, office, &id, far),
+                CallEffect::StartTimer(at, wake) => {
                     let generation = self.proxies[proxy].generation;
                     let at = moment(at).max(self.now);
                     self.queue.put(at, Ev::Wake { proxy, generation, wake });
                 }
-                Command::Log(text) => self.ends.log(text),
+                CallEffect::Log(text) => self.ends.log(text),
             }
         }
         Ok(())
     }
 
     /// A proxy has heard that an exchange is gone: its connections to it are closed, with the set-ups open there.
-    fn close_connections(&mut self, proxy: usize, office: OfficeId) {
+    fn close_connections(&mut self, proxy: usize, office: ExchangeId) {
         let open = |leg: &&LegIx| {
             let leg = &self.legs[**leg as usize];
             leg.from == proxy && leg.office == office && leg.state == LegState::Flying
@@ -456,7 +457,7 @@
     }
 
     /// The end of an attempt is told to its proxy.
-    fn attempt_ended(&mut self, id: &CallId, outcome: Outcome, why: Why) {
+    fn attempt_ended(&mut self, id: &CallId, outcome: Outcome, why: Cause) {
         let Some(ask) = ask_of(id).and_then(|ix| self.asks.get_mut(ix as usize)) else { return };
         ask.out = None;
         ask.why = why;
@@ -465,14 +466,14 @@
         }
     }
 
-    fn status(&self, proxy: usize, far: usize) -> Input {
+    fn status(&self, proxy: usize, far: usize) -> CallEvent {
         let group = &self.groups[self.group_of[proxy * self.day.n + far]];
-        let report = Report {
-            free: Some(f64::from(group.free())),
-            size: Some(f64::from(group.working)),
-            ..Report::default()
+        let report = LoadReport {
+            free_circuits: Some(f64::from(group.free())),
+            group_size: Some(f64::from(group.working)),
+            ..LoadReport::default()
         };
-        Input::Status { office: self.processors[far].office, report }
+        CallEvent::Status { exchange: self.processors[far].office, report }
     }
 
     // ---- Flight ----------------------------------------------------------------------------------
@@ -489,12 +490,12 @@
 }
 
 /// The exchanges that proxies are told to be gone.
-fn gone_offices(told: &Told) -> Vec<(usize, OfficeId)> {
+fn gone_offices(told: &Told) -> Vec<(usize, ExchangeId)> {
     let mut gone = Vec::new();
     for (proxy, inputs) in told {
         for input in inputs {
-            if let Input::List { offices, .. } = input {
-                let off = offices.iter().filter(|o| o.condition == Condition::Off);
+            if let CallEvent::Roster { entries: offices, .. } = input {
+                let off = offices.iter().filter(|o| o.state == ServiceState::Removed);
                 gone.extend(off.map(|o| (*proxy, o.id)));
             }
         }
--- a/crates/lab/src/world/processor.rs
+++ b/crates/lab/src/world/processor.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use mallowring::interface::OfficeId;
+use mallowring::interface::ExchangeId;
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64;
 
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct Processor {
     /// Its id on the roster.
-    pub office: OfficeId,
+    pub office: ExchangeId,
     /// Whether it works.
     pub up: Up,
     /// Its start, where that was in this day.
@@ -106,7 +106,7 @@
 
 impl Processor {
     /// A warm one at the start of the day, or one that starts cold at `started`.
-    pub fn new(office: OfficeId, works: Works, started: Option<Us>) -> Self {
+    pub fn new(office: ExchangeId, works: Works, started: Option<Us>) -> Self {
         Processor {
             office,
             up: Up::Running,
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use mallowring::interface::{CallId, Outcome, Why};
+use mallowring::interface::{CallId, Cause, Outcome};
 use serde::Serialize;
 
 use super::account::{service, Quantiles, Service, Work};
@@ -48,10 +48,10 @@
 const LOGS: usize = 50;
 
 impl Ends {
-    pub(super) fn count(&mut self, outcome: Outcome, why: Why) {
+    pub(super) fn count(&mut self, outcome: Outcome, why: Cause) {
         match (outcome, why) {
-            (Outcome::Moot, Why::NoCircuit) => self.no_circuit += 1,
-            (Outcome::Moot, _) => self.own_full += 1,
+            (Outcome::NotSent, Cause::NoCircuit) => self.no_circuit += 1,
+            (Outcome::NotSent, _) => self.own_full += 1,
             (Outcome::ConnectFailed, _) => self.no_connection += 1,
             (Outcome::Reset, _) => self.reset += 1,
             _ => {}
--- a/crates/lab/src/world/rules.rs
+++ b/crates/lab/src/world/rules.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use mallowring::interface::OfficeId;
+use mallowring::interface::ExchangeId;
 use serde::Serialize;
 
 use crate::day::{Us, SECOND};
@@ -51,7 +51,7 @@
     pub broken: Vec<Broken>,
     /// How many there were.
     pub count: u64,
-    told: BTreeMap<(usize, OfficeId), Us>,
+    told: BTreeMap<(usize, ExchangeId), Us>,
 }
 
 impl Watch {
@@ -65,7 +65,7 @@
     }
 
     /// A proxy was told that an exchange drains or is gone.
-    pub fn told(&mut self, proxy: usize, office: OfficeId, now: Us) {
+    pub fn told(&mut self, proxy: usize, office: ExchangeId, now: Us) {
         self.told.entry((proxy, office)).or_insert(now);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Whether a send to an exchange comes too late after that.
-    pub fn is_shut(&self, proxy: usize, office: OfficeId, now: Us, grace: Us) -> bool {
+    pub fn is_shut(&self, proxy: usize, office: ExchangeId, now: Us, grace: Us) -> bool {
         self.told.get(&(proxy, office)).is_some_and(|at| now > at + grace)
     }
 }
--- a/crates/lab/src/world/seats.rs
+++ b/crates/lab/src/world/seats.rs
@@ -1,13 +1,13 @@
 //! What the world knows of the proxies in its seats.
 
-use mallowring::calls::{Command, Input};
+use mallowring::calls::{CallEffect, CallEvent};
 use mallowring::interface::Time;
 
 use crate::day::Day;
 use crate::LabError;
 
 /// What the proxies of a fleet were told in one tick, by proxy.
-pub type Told = Vec<(usize, Vec<Input>)>;
+pub type Told = Vec<(usize, Vec<CallEvent>)>;
 
 /// Levels of overload, 0 to 4, as one proxy sees them.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -25,7 +25,7 @@
     fn stop(&mut self, proxy: usize) -> Result<(), LabError> {
         self.as_mut().stop(proxy)
     }
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         self.as_mut().tick(now, told, out)
     }
     fn levels(&self, proxy: usize) -> Option<Levels> {
@@ -42,7 +42,7 @@
     fn stop(&mut self, proxy: usize) -> Result<(), LabError>;
 
     /// Hands all that was told in one tick to the proxies and appends their commands in order.
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError>;
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError>;
 
     /// The levels of overload that a proxy sees, where it can be asked.
     fn levels(&self, _proxy: usize) -> Option<Levels> {
--- a/crates/lab/src/world/trouble.rs
+++ b/crates/lab/src/world/trouble.rs
@@ -1,6 +1,6 @@
 //! Troubles as they happen. Surges and lopsided load are in the traffic already.
 
-use mallowring::interface::{Condition, Outcome, Why};
+use mallowring::interface::{Cause, Outcome, ServiceState};
 
 use super::processor::Up;
 use super::{AskIx, AskState, Ev, LegIx, World};
@@ -74,7 +74,7 @@
         match step {
             Step::Drain(x) if self.processors[x].up == Up::Running => {
                 let (office, started) = (self.processors[x].office, self.processors[x].started);
-                let entry = self.entry(x, office, Condition::Draining, started);
+                let entry = self.entry(x, office, ServiceState::Draining, started);
                 self.announce(self.now + self.day.planned, entry);
             }
             Step::Stop(x) if self.processors[x].up == Up::Running => {
@@ -128,7 +128,7 @@
         let (office, started) = (self.processors[x].office, self.processors[x].started);
         self.stop_processor(x);
         self.gone.insert(office);
-        let entry = self.entry(x, office, Condition::Off, started);
+        let entry = self.entry(x, office, ServiceState::Removed, started);
         self.announce(self.now + notice, entry);
     }
 
@@ -187,7 +187,7 @@
             match from {
                 Some(leg) => {
                     let at = self.arrival(proxy, self.legs[leg as usize].from);
-                    self.queue.put(at, Ev::EndAt(leg, Outcome::Reset, Why::Unsaid));
+                    self.queue.put(at, Ev::EndAt(leg, Outcome::Reset, Cause::Unspecified));
                 }
                 None => self.try_ended(caller, None),
             }
--- a/crates/lab/tests/capture.rs
+++ b/crates/lab/tests/capture.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{play, scenario};
-use mallowring::calls::Input;
+use mallowring::calls::CallEvent;
 use mallowring::capture::frame::{head, read, CaptureError, End, Frames};
 use mallowring::capture::replay::replay;
 use mallowring::capture::{Entry, What};
-use mallowring::interface::{OfficeId, Report, Time};
+use mallowring::interface::{ExchangeId, LoadReport, Time};
 use mallowring::Tuning;
 use mallowring_lab::proxy::Recorded;
 
@@ -128,15 +128,20 @@
 fn entries_of_one_moment_keep_their_order_and_odd_figures_their_bits() {
     let odd = [f64::INFINITY, f64::NEG_INFINITY, -0.0, f64::MIN_POSITIVE / 2.0, 0.1 + 0.2];
     let entry = |seq: u64| {
-        let report = Report { wait: Some(odd[seq as usize % odd.len()]), ..Report::default() };
-        Entry { seq, at: Time(1000.0), what: What::Told(Input::Status { office: OfficeId(seq), report }) }
+        let report =
+            LoadReport { queueing_delay: Some(odd[seq as usize % odd.len()]), ..LoadReport::default() };
+        Entry {
+            seq,
+            at: Time(1000.0),
+            what: What::Told(CallEvent::Status { exchange: ExchangeId(seq), report }),
+        }
     };
     let entries: Vec<Entry> = (0..5000).map(entry).collect();
     let again = read(&written(&entries)).expect("it is whole").entries;
     assert_eq!(again.iter().map(|e| e.seq).collect::<Vec<_>>(), (0..5000).collect::<Vec<_>>());
     let bits = |entries: &[Entry]| -> Vec<u64> {
         let wait = |e: &Entry| match &e.what {
-            What::Told(Input::Status { report, .. }) => report.wait.map_or(0, f64::to_bits),
+            What::Told(CallEvent::Status { report, .. }) => report.queueing_delay.map_or(0, f64::to_bits),
             _ => 0,
         };
         entries.iter().map(wait).collect()
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use mallowring::calls::{Command, Input};
+use mallowring::calls::{CallEffect, CallEvent};
 use mallowring::interface::Time;
 use mallowring::Tuning;
 use mallowring_lab::day::Day;
@@ -42,14 +42,14 @@
     }
 }
 
-impl<F: FnMut(Time, &Told, &mut Vec<(usize, Command)>)> Seats for Rogue<F> {
+impl<F: FnMut(Time, &Told, &mut Vec<(usize, CallEffect)>)> Seats for Rogue<F> {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.inner.start(day, proxy, now, seed)
     }
     fn stop(&mut self, proxy: usize) -> Result<(), LabError> {
         self.inner.stop(proxy)
     }
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, Command)>) -> Result<(), LabError> {
+    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         self.inner.tick(now, told.clone(), out)?;
         (self.sin)(now, &told, out);
         Ok(())
@@ -57,7 +57,7 @@
 }
 
 /// The ends of attempts that were told.
-pub fn ends(told: &Told) -> impl Iterator<Item = (usize, &Input)> {
+pub fn ends(told: &Told) -> impl Iterator<Item = (usize, &CallEvent)> {
     let all = told.iter().flat_map(|(proxy, inputs)| inputs.iter().map(move |i| (*proxy, i)));
-    all.filter(|(_, input)| matches!(input, Input::Ended { .. }))
+    all.filter(|(_, input)| matches!(input, CallEvent::SetUpFailed { .. }))
 }
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ends, play, scenario, Rogue};
-use mallowring::calls::{Command, Far, Front, Input, Near, SetUp};
+use mallowring::calls::{CallEffect, CallEvent, CallerCommand, ExchangeCommand, Front, SetUp};
 use mallowring::interface::{Outcome, Time};
 use mallowring_lab::proxy::{Direct, Told};
 use mallowring_lab::world::rules::Rule;
@@ -11,9 +11,9 @@
 
 const BUSY: &str = "[load]\noffered = 1.2\n";
 
-fn set_up(command: &Command) -> Option<&SetUp> {
+fn set_up(command: &CallEffect) -> Option<&SetUp> {
     match command {
-        Command::Far(_, _, Far::SetUp(set_up)) => Some(set_up),
+        CallEffect::Exchange(_, _, ExchangeCommand::SetUp(set_up)) => Some(set_up),
         _ => None,
     }
 }
@@ -33,8 +33,9 @@
 
 #[test]
 fn a_second_final_answer() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, Command)>| {
-        let answers = out.iter().filter(|(_, c)| matches!(c, Command::Near(_, _, Near::Refuse(_))));
+    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
+        let answers =
+            out.iter().filter(|(_, c)| matches!(c, CallEffect::Caller(_, _, CallerCommand::Refuse(_))));
         let twice: Vec<_> = answers.cloned().collect();
         out.extend(twice);
     });
@@ -43,8 +44,8 @@
 
 #[test]
 fn no_final_answer() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, Command)>| {
-        out.retain(|(_, c)| !matches!(c, Command::Near(_, _, Near::Refuse(_))));
+    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
+        out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, _, CallerCommand::Refuse(_))));
     });
     let day = play(&scenario(10, BUSY), 1, &mut rogue);
     breaks(&day, Rule::FinalAnswer);
@@ -56,12 +57,12 @@
 
 #[test]
 fn an_answer_that_no_exchange_made() {
-    let mut rogue = Rogue::new(|_: Time, told: &Told, out: &mut Vec<(usize, Command)>| {
+    let mut rogue = Rogue::new(|_: Time, told: &Told, out: &mut Vec<(usize, CallEffect)>| {
         for (proxy, input) in ends(told) {
-            if let Input::Ended { id, .. } = input {
-                out.retain(|(_, c)| !matches!(c, Command::Near(_, i, _) if i == id));
-                let made_up = Near::Answer(b"it stands, really".as_slice().into());
-                out.push((proxy, Command::Near(Front::Platform, id.clone(), made_up)));
+            if let CallEvent::SetUpFailed { id, .. } = input {
+                out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, i, _) if i == id));
+                let made_up = CallerCommand::Answer(b"it stands, really".as_slice().into());
+                out.push((proxy, CallEffect::Caller(Front::Platform, id.clone(), made_up)));
             }
         }
     });
@@ -70,7 +71,7 @@
 
 #[test]
 fn two_attempts_at_once() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, Command)>| {
+    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
         let twice: Vec<_> = out.iter().filter(|(_, c)| set_up(c).is_some()).cloned().collect();
         out.extend(twice);
     });
@@ -78,14 +79,14 @@
 }
 
 /// Tries again at the same exchange, whatever became of the attempt, as often as `most` allows.
-fn again(most: u32) -> impl FnMut(Time, &Told, &mut Vec<(usize, Command)>) {
-    move |now: Time, told: &Told, out: &mut Vec<(usize, Command)>| {
+fn again(most: u32) -> impl FnMut(Time, &Told, &mut Vec<(usize, CallEffect)>) {
+    move |now: Time, told: &Told, out: &mut Vec<(usize, CallEffect)>| {
         for (proxy, input) in ends(told) {
-            let Input::Ended { id, office, leg, .. } = input else { continue };
+            let CallEvent::SetUpFailed { id, exchange: office, leg, .. } = input else { continue };
             if leg.unwrap_or(0) + 1 >= most {
                 continue;
             }
-            out.retain(|(_, c)| !matches!(c, Command::Near(_, i, _) if i == id));
+            out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, i, _) if i == id));
             let set_up = SetUp {
                 leg: leg.unwrap_or(0) + 1,
                 class: "trace-read".into(),
@@ -93,9 +94,9 @@
                 width: 1,
                 direct: true,
                 description: b"caller".as_slice().into(),
-                until: now + 1.0,
+                abandon_at: now + 1.0,
             };
-            out.push((proxy, Command::Far(*office, id.clone(), Far::SetUp(set_up))));
+            out.push((proxy, CallEffect::Exchange(*office, id.clone(), ExchangeCommand::SetUp(set_up))));
         }
     }
 }
@@ -112,8 +113,10 @@
     let crash = "[[trouble]]\nkind = \"crash\"\nat = 4\nexchanges = [1]\nback_s = 2\n";
     let mut resets = 0;
     let mut retry = again(4);
-    let mut rogue = Rogue::new(|now: Time, told: &Told, out: &mut Vec<(usize, Command)>| {
-        let reset = |(_, i): &(usize, &Input)| matches!(i, Input::Ended { outcome: Outcome::Reset, .. });
+    let mut rogue = Rogue::new(|now: Time, told: &Told, out: &mut Vec<(usize, CallEffect)>| {
+        let reset = |(_, i): &(usize, &CallEvent)| {
+            matches!(i, CallEvent::SetUpFailed { outcome: Outcome::Reset, .. })
+        };
         resets += ends(told).filter(reset).count();
         retry(now, told, out);
     });
@@ -135,14 +138,15 @@
 
 #[test]
 fn a_send_to_the_own_exchange() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, Command)>| {
+    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
         // Everybody sends where the first one of them does.
         let office = out.iter().find_map(|(_, c)| match c {
-            Command::Far(office, _, Far::SetUp(_)) => Some(*office),
+            CallEffect::Exchange(office, _, ExchangeCommand::SetUp(_)) => Some(*office),
             _ => None,
         });
         for (_, command) in out.iter_mut() {
-            if let (Command::Far(to, _, Far::SetUp(_)), Some(office)) = (command, office) {
+            if let (CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)), Some(office)) = (command, office)
+            {
                 *to = office;
             }
         }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,7 +1,7 @@
 //! The core: calls as requests, attempts and outcomes. It knows no wire, no socket and no clock.
 //!
-//! A [`Table`] takes [`Input`]s from the fronts, the exchanges' adapters, the list and the clock, lets the
-//! decision module decide and turns its actions into [`Command`]s. The rules are guarded here once for all
+//! A [`Table`] takes [`CallEvent`]s from the fronts, the exchanges' adapters, the list and the clock, lets the
+//! decision module decide and turns its actions into [`CallEffect`]s. The rules are guarded here once for all
 //! fronts: one final answer, one attempt at a time, the pause after a time-out, reset or cancel, drains.
 
 mod table;
@@ -40,15 +40,15 @@
     /// It comes from another proxy and goes on to its destination or back.
     pub transit: bool,
     /// The advised tandem; in transit, the exchange of origin.
-    pub hop: Option<ExchangeNo>,
+    pub hop: Option<ExchangeNumber>,
     /// It was cut and comes again.
-    pub came_back: bool,
+    pub re_established: bool,
     /// It is marked as the caller's retry.
-    pub resent: bool,
+    pub redial: bool,
     /// The circuits it takes.
     pub width: u32,
     /// The destination.
-    pub dest: ExchangeNo,
+    pub dest: ExchangeNumber,
     /// The number called.
     pub number: String,
     /// What the caller describes; passed on as it is.
@@ -57,99 +57,99 @@
 
 /// What the core is told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Input {
+pub enum CallEvent {
     /// A caller asks for a call.
     Request(Request),
     /// The caller has stopped waiting.
-    GaveUp(CallId),
+    CallerGaveUp(CallId),
     /// The caller ends a call that stands.
-    Hangup(CallId),
+    CallerReleased(CallId),
     /// An exchange has answered a set-up.
     Answered {
         /// The call.
         id: CallId,
         /// The exchange.
-        office: OfficeId,
+        exchange: ExchangeId,
         /// The attempt, where the wire tells it.
         leg: Option<u32>,
         /// What the exchange describes; passed on as it is.
         description: Arc<[u8]>,
     },
     /// A set-up has ended without an answer.
-    Ended {
+    SetUpFailed {
         /// The call.
         id: CallId,
         /// The exchange.
-        office: OfficeId,
+        exchange: ExchangeId,
         /// The attempt, where the wire tells it.
         leg: Option<u32>,
         /// How it ended.
         outcome: Outcome,
         /// Why.
-        why: Why,
+        cause: Cause,
         /// The report that came along.
-        report: Report,
+        report: LoadReport,
     },
     /// An exchange has ended a call that stands.
-    Released {
+    ExchangeReleased {
         /// The call.
         id: CallId,
         /// The exchange.
-        office: OfficeId,
+        exchange: ExchangeId,
         /// It came to its end; else it was cut.
-        whole: bool,
+        completed: bool,
         /// The report that came along.
-        report: Report,
+        report: LoadReport,
     },
     /// The state of a trunk group.
     Status {
         /// The exchange at its other end.
-        office: OfficeId,
+        exchange: ExchangeId,
         /// What it says.
-        report: Report,
+        report: LoadReport,
     },
     /// The process of an exchange has died: whatever stood there is cut.
-    Died(OfficeId),
+    ExchangeDown(ExchangeId),
     /// News of the exchanges.
-    List {
+    Roster {
         /// The whole list, or changes.
-        whole: bool,
+        full: bool,
         /// Its lines.
-        offices: Vec<Office>,
+        entries: Vec<RosterEntry>,
     },
-    /// A timer asked for by [`Command::Wake`].
-    Woken(Wake),
+    /// A timer asked for by [`CallEffect::StartTimer`].
+    TimerExpired(CallTimer),
     /// The state of a trunk group is not told any longer.
-    Unheard(OfficeId),
+    StatusLost(ExchangeId),
 }
 
 /// What a timer is for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Wake {
+pub enum CallTimer {
     /// An attempt has run its time.
-    Abandon(CallId, u32),
+    AttemptTimeout(CallId, u32),
     /// The last moment for a final answer.
     Deadline(CallId),
     /// The module asked for it.
-    Module(Token),
+    Controller(TimerToken),
 }
 
 /// Why a request is turned down without the module being asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reject {
+pub enum RejectReason {
     /// No class of that name.
-    Class,
+    UnknownClass,
     /// No tenant of that name, or a suspended one.
-    Tenant,
+    UnknownTenant,
     /// No exchange of that number was ever listed.
-    Destination,
+    UnknownDestination,
     /// A figure is out of its range: the time to wait, the width or the advised exchange.
-    Figure,
+    OutOfRange,
 }
 
 /// What a caller is told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Near {
+pub enum CallerCommand {
     /// The call stands.
     Answer(Arc<[u8]>),
     /// Turned away; trying again is harmless, after the time given.
@@ -157,21 +157,21 @@
     /// Failed for good.
     Fail,
     /// Turned down as it makes no sense here.
-    Reject(Reject),
+    Reject(RejectReason),
     /// A call that stood is over: at its end, or cut.
     Release {
         /// It came to its end.
-        whole: bool,
+        completed: bool,
     },
 }
 
 /// What an exchange is told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Far {
+pub enum ExchangeCommand {
     /// Set a call up.
     SetUp(SetUp),
     /// Stop the set-up.
-    GiveUp {
+    CancelSetUp {
         /// The attempt.
         leg: u32,
     },
@@ -198,18 +198,18 @@
     /// What the caller describes.
     pub description: Arc<[u8]>,
     /// When it is given up.
-    pub until: Time,
+    pub abandon_at: Time,
 }
 
 /// What the core wants done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Command {
+pub enum CallEffect {
     /// Tell a caller.
-    Near(Front, CallId, Near),
+    Caller(Front, CallId, CallerCommand),
     /// Tell an exchange.
-    Far(OfficeId, CallId, Far),
+    Exchange(ExchangeId, CallId, ExchangeCommand),
     /// Wake the core.
-    Wake(Time, Wake),
+    StartTimer(Time, CallTimer),
     /// A line for the log.
     Log(String),
 }
--- a/src/calls/table.rs
+++ b/src/calls/table.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 
 use super::tenants::{Counts, Tenants};
-use super::{Command, Far, Front, Input, Near, Reject, Request, SetUp, Wake};
+use super::{
+    CallEffect, CallEvent, CallTimer, CallerCommand, ExchangeCommand, Front, RejectReason, Request, SetUp,
+};
 use crate::interface::*;
 use crate::logic::Controller;
 use crate::telemetry;
@@ -21,9 +23,9 @@
     /// No attempt is out and no answer is given.
     Held,
     /// One attempt is out.
-    Out { office: OfficeId, leg: u32, sent: Time },
+    Out { office: ExchangeId, leg: u32, sent: Time },
     /// The call stands.
-    Standing { office: OfficeId, leg: u32, sent: Time },
+    Standing { office: ExchangeId, leg: u32, sent: Time },
 }
 
 #[derive(Debug)]
@@ -32,7 +34,7 @@
     tenant: Option<String>,
     class: String,
     number: String,
-    dest: ExchangeNo,
+    dest: ExchangeNumber,
     width: u32,
     description: Arc<[u8]>,
     deadline: Time,
@@ -61,12 +63,12 @@
     tenants: Tenants,
     controller: Controller,
     calls: BTreeMap<CallId, Call>,
-    offices: BTreeMap<OfficeId, (Condition, Option<Time>, ExchangeNo)>,
+    offices: BTreeMap<ExchangeId, (ServiceState, Option<Time>, ExchangeNumber)>,
     /// Since when an exchange drains or is gone.
-    closed_at: BTreeMap<OfficeId, Time>,
-    numbers: BTreeSet<ExchangeNo>,
-    own_offices: BTreeSet<OfficeId>,
-    heard: BTreeSet<OfficeId>,
+    closed_at: BTreeMap<ExchangeId, Time>,
+    numbers: BTreeSet<ExchangeNumber>,
+    own_offices: BTreeSet<ExchangeId>,
+    heard: BTreeSet<ExchangeId>,
     actions: Vec<Action>,
     /// The proxy is about to end: new requests are refused.
     closing: bool,
@@ -119,18 +121,18 @@
     }
 
     /// Gives every call that waits for a final answer its refusal, as the proxy is about to be killed.
-    pub fn refuse_open(&mut self, out: &mut Vec<Command>) {
+    pub fn refuse_open(&mut self, out: &mut Vec<CallEffect>) {
         let open = self.calls.iter().filter(|(_, c)| !matches!(c.stage, Stage::Standing { .. }));
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
         let wait = self.longest_wait();
         for id in open {
-            self.conclude(id, Near::Refuse(wait), "shutting down", out);
+            self.conclude(id, CallerCommand::Refuse(wait), "shutting down", out);
         }
     }
 
     /// What a refused caller is told where the module has no say.
     fn longest_wait(&self) -> Option<Secs> {
-        self.settings.cool_down.then_some(self.settings.max_cool_down)
+        self.settings.cool_down_allowed.then_some(self.settings.max_cool_down)
     }
 
     /// The tenants.
@@ -166,65 +168,67 @@
 
     /// The list is in, and the state of the trunk group to every exchange on it.
     pub fn informed(&self) -> bool {
-        let mut on = self.offices.iter().filter(|(_, (c, ..))| *c == Condition::On).map(|(id, _)| id);
+        let mut on =
+            self.offices.iter().filter(|(_, (c, ..))| *c == ServiceState::InService).map(|(id, _)| id);
         !self.offices.is_empty() && on.all(|id| self.own_offices.contains(id) || self.heard.contains(id))
     }
 
     /// The levels of overload that the module sees: at the own processor, and at far ones in service.
-    pub fn levels(&self) -> (usize, Vec<(ExchangeNo, usize)>) {
+    pub fn levels(&self) -> (usize, Vec<(ExchangeNumber, usize)>) {
         self.controller.levels()
     }
 
     /// Takes one input and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Command>) {
+    pub fn handle(&mut self, now: Time, input: CallEvent, out: &mut Vec<CallEffect>) {
         match input {
-            Input::Request(request) => self.on_request(now, request, out),
-            Input::GaveUp(id) => self.on_gave_up(now, id, out),
-            Input::Hangup(id) => self.on_hangup(now, id, out),
-            Input::Answered { id, office, leg, description } => {
+            CallEvent::Request(request) => self.on_request(now, request, out),
+            CallEvent::CallerGaveUp(id) => self.on_gave_up(now, id, out),
+            CallEvent::CallerReleased(id) => self.on_hangup(now, id, out),
+            CallEvent::Answered { id, exchange: office, leg, description } => {
                 self.on_answered(now, id, office, leg, description, out);
             }
-            Input::Ended { id, office, leg, outcome, why, report } => {
+            CallEvent::SetUpFailed { id, exchange: office, leg, outcome, cause: why, report } => {
                 self.on_ended(now, id, office, leg, (outcome, why, report), out);
             }
-            Input::Released { id, office, whole, report } => {
+            CallEvent::ExchangeReleased { id, exchange: office, completed: whole, report } => {
                 self.on_released(now, id, office, whole, report, out);
             }
-            Input::Status { office, report } => {
+            CallEvent::Status { exchange: office, report } => {
                 // A state may cross the news that its exchange is gone.
                 if self.offices.contains_key(&office) {
                     self.heard.insert(office);
                 }
-                self.decide(now, Event::Status { office, ok: true, took: 0.0, report }, out);
+                self.decide(now, Event::Status { exchange: office, ok: true, elapsed: 0.0, report }, out);
             }
-            Input::Unheard(office) => self.decide(now, Event::Unheard(office), out),
-            Input::Died(office) => self.on_died(now, office, now, out),
-            Input::List { whole, offices } => self.on_list(now, whole, offices, out),
-            Input::Woken(wake) => self.on_wake(now, wake, out),
+            CallEvent::StatusLost(office) => self.decide(now, Event::StatusLost(office), out),
+            CallEvent::ExchangeDown(office) => self.on_died(now, office, now, out),
+            CallEvent::Roster { full: whole, entries: offices } => self.on_list(now, whole, offices, out),
+            CallEvent::TimerExpired(wake) => self.on_wake(now, wake, out),
         }
     }
 
-    fn on_request(&mut self, now: Time, request: Request, out: &mut Vec<Command>) {
+    fn on_request(&mut self, now: Time, request: Request, out: &mut Vec<CallEffect>) {
         let (id, front) = (request.id.clone(), request.front);
         if self.calls.contains_key(&id) {
-            return out.push(Command::Log(format!("call {}: a second request with its id is ignored", id.0)));
+            return out
+                .push(CallEffect::Log(format!("call {}: a second request with its id is ignored", id.0)));
         }
         let class = self.settings.classes.iter().position(|c| c.name == request.class);
         let reject = if class.is_none() {
-            Some(Reject::Class)
+            Some(RejectReason::UnknownClass)
         } else if !self.tenants.admits(request.tenant.as_ref()) {
-            Some(Reject::Tenant)
+            Some(RejectReason::UnknownTenant)
         } else if !self.numbers.is_empty() && !self.numbers.contains(&request.dest) {
-            Some(Reject::Destination)
+            Some(RejectReason::UnknownDestination)
         } else if !self.makes_sense(&request, class) {
-            Some(Reject::Figure)
+            Some(RejectReason::OutOfRange)
         } else {
             None
         };
         let tenant = request.tenant;
         if let Some(reject) = reject {
             self.tenants.count(tenant.as_ref(), |counts| counts.rejected += 1);
-            return out.push(Command::Near(front, id, Near::Reject(reject)));
+            return out.push(CallEffect::Caller(front, id, CallerCommand::Reject(reject)));
         }
         let reason = if self.closing {
             Some("shutting down")
@@ -238,7 +242,7 @@
         if let Some(reason) = reason {
             self.tenants.count(tenant.as_ref(), |counts| counts.refused += 1);
             note_refusal(&id, reason);
-            return out.push(Command::Near(front, id, Near::Refuse(self.longest_wait())));
+            return out.push(CallEffect::Caller(front, id, CallerCommand::Refuse(self.longest_wait())));
         }
         self.tenants.count(tenant.as_ref(), |counts| {
             counts.taken += 1;
@@ -258,7 +262,7 @@
             not_before: now,
             stage: Stage::Held,
         };
-        out.push(Command::Wake(call.deadline, Wake::Deadline(id.clone())));
+        out.push(CallEffect::StartTimer(call.deadline, CallTimer::Deadline(id.clone())));
         self.held_bytes += call.weight();
         self.calls.insert(id, call);
         let arrival = Arrival {
@@ -266,11 +270,11 @@
             ttl,
             transit: request.transit,
             hop: request.hop,
-            came_back: request.came_back,
+            re_established: request.re_established,
             width: request.width,
-            resent: request.resent,
+            redial: request.redial,
             dest: request.dest,
-            class: ClassIx(class.unwrap_or(0)),
+            class: ClassIndex(class.unwrap_or(0)),
             number: Some(request.number),
         };
         self.decide(now, Event::Arrival(arrival), out);
@@ -279,9 +283,9 @@
     /// No caller waits longer than its class is given up, none asks for more circuits than the widest class, and
     /// only an exchange can be a tandem or where a call comes from.
     fn makes_sense(&self, request: &Request, class: Option<usize>) -> bool {
-        let give_up = class.and_then(|ix| self.settings.classes.get(ix)).map_or(0.0, |c| c.give_up);
+        let give_up = class.and_then(|ix| self.settings.classes.get(ix)).map_or(0.0, |c| c.give_up_after);
         let widest = self.settings.classes.iter().map(|c| c.width).fold(1, u32::max);
-        let known = |n: &ExchangeNo| self.numbers.is_empty() || self.numbers.contains(n);
+        let known = |n: &ExchangeNumber| self.numbers.is_empty() || self.numbers.contains(n);
         request.ttl > 0.0
             && request.ttl <= give_up + 0.1
             && (1..=widest).contains(&request.width)
@@ -289,17 +293,19 @@
     }
 
     /// The caller waits no longer: nothing is owed to it, and what is out for it is called off.
-    fn on_gave_up(&mut self, now: Time, id: CallId, out: &mut Vec<Command>) {
+    fn on_gave_up(&mut self, now: Time, id: CallId, out: &mut Vec<CallEffect>) {
         match self.calls.get(&id).map(|c| c.stage.clone()) {
             Some(Stage::Out { office, leg, .. }) => {
-                out.push(Command::Far(office, id.clone(), Far::GiveUp { leg }));
+                out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
             }
             Some(Stage::Held) => {}
             // An answer crossed the caller's giving up: the call stands and nobody wants it.
             Some(Stage::Standing { .. }) => {
                 let front = self.calls.get(&id).map(|c| c.front);
                 self.on_hangup(now, id.clone(), out);
-                out.extend(front.map(|f| Command::Near(f, id, Near::Release { whole: false })));
+                out.extend(
+                    front.map(|f| CallEffect::Caller(f, id, CallerCommand::Release { completed: false })),
+                );
                 return;
             }
             None => return,
@@ -308,18 +314,18 @@
         self.decide(now, Event::Withdrawn(id), out);
     }
 
-    fn on_hangup(&mut self, now: Time, id: CallId, out: &mut Vec<Command>) {
+    fn on_hangup(&mut self, now: Time, id: CallId, out: &mut Vec<CallEffect>) {
         let Some(Stage::Standing { office, leg, sent }) = self.calls.get(&id).map(|c| c.stage.clone()) else {
             return self.on_gave_up_if_open(now, id, out);
         };
         self.forget(&id, |_| {});
-        out.push(Command::Far(office, id.clone(), Far::Release { leg: Some(leg) }));
-        let end = (Outcome::Cancelled, Why::Unsaid, Report::default());
+        out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::Release { leg: Some(leg) }));
+        let end = (Outcome::Cancelled, Cause::Unspecified, LoadReport::default());
         self.tell_end(now, &id, (office, leg, sent), end, true, out);
     }
 
     /// A release of a call that does not stand yet can only mean that its caller wants no more of it.
-    fn on_gave_up_if_open(&mut self, now: Time, id: CallId, out: &mut Vec<Command>) {
+    fn on_gave_up_if_open(&mut self, now: Time, id: CallId, out: &mut Vec<CallEffect>) {
         if self.calls.contains_key(&id) {
             self.on_gave_up(now, id, out);
         }
@@ -329,12 +335,12 @@
         &mut self,
         now: Time,
         id: CallId,
-        office: OfficeId,
+        office: ExchangeId,
         leg: Option<u32>,
         description: Arc<[u8]>,
-        out: &mut Vec<Command>,
+        out: &mut Vec<CallEffect>,
     ) {
-        let matches = |o: OfficeId, l: u32| o == office && leg.is_none_or(|leg| leg == l);
+        let matches = |o: ExchangeId, l: u32| o == office && leg.is_none_or(|leg| leg == l);
         if let Some(call) = self.calls.get_mut(&id) {
             match call.stage {
                 Stage::Out { office: o, leg, sent } if matches(o, leg) => {
@@ -344,8 +350,12 @@
                     call.description = Arc::from([]);
                     self.tenants.count(call.tenant.as_ref(), |counts| counts.stood += 1);
                     tracing::debug!(call = id.0, office = o.0, attempt = leg, "call stands");
-                    out.push(Command::Near(call.front, id.clone(), Near::Answer(description)));
-                    return self.decide(now, Event::Stands { id, leg, office, took: now - sent }, out);
+                    out.push(CallEffect::Caller(call.front, id.clone(), CallerCommand::Answer(description)));
+                    return self.decide(
+                        now,
+                        Event::Established { id, leg, exchange: office, elapsed: now - sent },
+                        out,
+                    );
                 }
                 // Said twice.
                 Stage::Standing { office: o, leg, .. } if matches(o, leg) => return,
@@ -353,17 +363,17 @@
             }
         }
         // It crossed our giving up: nobody is there to take it.
-        out.push(Command::Far(office, id, Far::Release { leg }));
+        out.push(CallEffect::Exchange(office, id, ExchangeCommand::Release { leg }));
     }
 
     fn on_ended(
         &mut self,
         now: Time,
         id: CallId,
-        office: OfficeId,
+        office: ExchangeId,
         leg: Option<u32>,
-        (outcome, why, report): (Outcome, Why, Report),
-        out: &mut Vec<Command>,
+        (outcome, why, report): (Outcome, Cause, LoadReport),
+        out: &mut Vec<CallEffect>,
     ) {
         if let Some(call) = self.calls.get_mut(&id) {
             if let Stage::Out { office: o, leg: l, sent } = call.stage {
@@ -378,14 +388,14 @@
                         "attempt ended"
                     );
                     if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-                        call.not_before = now + self.settings.release;
+                        call.not_before = now + self.settings.release_pause;
                     }
                     return self.tell_end(now, &id, (office, l, sent), (outcome, why, report), false, out);
                 }
             }
         }
-        if report != Report::default() {
-            self.decide(now, Event::Status { office, ok: true, took: 0.0, report }, out);
+        if report != LoadReport::default() {
+            self.decide(now, Event::Status { exchange: office, ok: true, elapsed: 0.0, report }, out);
         }
     }
 
@@ -393,10 +403,10 @@
         &mut self,
         now: Time,
         id: CallId,
-        office: OfficeId,
+        office: ExchangeId,
         whole: bool,
-        report: Report,
-        out: &mut Vec<Command>,
+        report: LoadReport,
+        out: &mut Vec<CallEffect>,
     ) {
         let standing = match self.calls.get(&id) {
             Some(Call { stage: Stage::Standing { office: o, leg, sent }, front, .. }) if *o == office => {
@@ -408,13 +418,13 @@
         let Some((front, leg, sent)) = standing else { return };
         tracing::debug!(call = id.0, office = office.0, whole, "call released");
         self.forget(&id, |_| {});
-        out.push(Command::Near(front, id.clone(), Near::Release { whole }));
-        let outcome = if whole { Outcome::Ended } else { Outcome::Reset };
-        self.tell_end(now, &id, (office, leg, sent), (outcome, Why::Unsaid, report), true, out);
+        out.push(CallEffect::Caller(front, id.clone(), CallerCommand::Release { completed: whole }));
+        let outcome = if whole { Outcome::Completed } else { Outcome::Reset };
+        self.tell_end(now, &id, (office, leg, sent), (outcome, Cause::Unspecified, report), true, out);
     }
 
     /// The process of an exchange has died: what was sent to it before a time is cut.
-    fn on_died(&mut self, now: Time, office: OfficeId, before: Time, out: &mut Vec<Command>) {
+    fn on_died(&mut self, now: Time, office: ExchangeId, before: Time, out: &mut Vec<CallEffect>) {
         let there = |s: &Stage| match s {
             Stage::Out { office: o, sent, .. } | Stage::Standing { office: o, sent, .. } => {
                 *o == office && *sent <= before
@@ -424,17 +434,24 @@
         let hit: Vec<_> =
             self.calls.iter().filter(|(_, c)| there(&c.stage)).map(|(id, _)| id.clone()).collect();
         for id in hit {
-            self.on_released(now, id.clone(), office, false, Report::default(), out);
-            self.on_ended(now, id, office, None, (Outcome::Reset, Why::Unsaid, Report::default()), out);
+            self.on_released(now, id.clone(), office, false, LoadReport::default(), out);
+            self.on_ended(
+                now,
+                id,
+                office,
+                None,
+                (Outcome::Reset, Cause::Unspecified, LoadReport::default()),
+                out,
+            );
         }
     }
 
-    fn on_list(&mut self, now: Time, whole: bool, offices: Vec<Office>, out: &mut Vec<Command>) {
+    fn on_list(&mut self, now: Time, whole: bool, offices: Vec<RosterEntry>, out: &mut Vec<CallEffect>) {
         let mut dead = Vec::new();
         if whole {
             for (id, held) in &mut self.offices {
-                if held.0 != Condition::Off && !offices.iter().any(|o| o.id == *id) {
-                    held.0 = Condition::Off;
+                if held.0 != ServiceState::Removed && !offices.iter().any(|o| o.id == *id) {
+                    held.0 = ServiceState::Removed;
                     self.closed_at.entry(*id).or_insert(now);
                     dead.push((*id, now));
                 }
@@ -442,30 +459,31 @@
         }
         for office in &offices {
             self.numbers.insert(office.number);
-            if self.settings.own == Some(office.number) {
+            if self.settings.own_exchange == Some(office.number) {
                 self.own_offices.insert(office.id);
             }
-            let old = self.offices.insert(office.id, (office.condition, office.ready_at, office.number));
+            let old = self.offices.insert(office.id, (office.state, office.ready_at, office.number));
             let restarted = old.is_some_and(|(_, at, _)| at != office.ready_at);
-            if office.condition == Condition::Off && old.is_some_and(|(c, ..)| c != Condition::Off) {
+            if office.state == ServiceState::Removed && old.is_some_and(|(c, ..)| c != ServiceState::Removed)
+            {
                 dead.push((office.id, now));
             } else if restarted {
                 dead.push((office.id, office.ready_at.unwrap_or(now)));
             }
-            if office.condition == Condition::On {
+            if office.state == ServiceState::InService {
                 self.closed_at.remove(&office.id);
             } else {
                 self.closed_at.entry(office.id).or_insert(now);
             }
         }
-        let kind = if whole { ListKind::Full } else { ListKind::Changes };
-        self.decide(now, Event::List { kind, offices }, out);
+        let kind = if whole { RosterKind::Full } else { RosterKind::Incremental };
+        self.decide(now, Event::Roster { kind, entries: offices }, out);
         for (office, before) in dead {
             self.on_died(now, office, before, out);
         }
         // Ids never come back: what is gone is as good as never listed.
         let offices = &mut self.offices;
-        offices.retain(|_, (condition, ..)| *condition != Condition::Off);
+        offices.retain(|_, (condition, ..)| *condition != ServiceState::Removed);
         self.closed_at.retain(|id, _| offices.contains_key(id));
         self.own_offices.retain(|id| offices.contains_key(id));
         self.heard.retain(|id| offices.contains_key(id));
@@ -479,29 +497,29 @@
             .unwrap_or(0)
     }
 
-    fn on_wake(&mut self, now: Time, wake: Wake, out: &mut Vec<Command>) {
+    fn on_wake(&mut self, now: Time, wake: CallTimer, out: &mut Vec<CallEffect>) {
         match wake {
-            Wake::Module(token) => self.decide(now, Event::Timer(token), out),
-            Wake::Abandon(id, leg) => {
+            CallTimer::Controller(token) => self.decide(now, Event::Timer(token), out),
+            CallTimer::AttemptTimeout(id, leg) => {
                 let Some(Stage::Out { office, leg: l, .. }) = self.calls.get(&id).map(|c| c.stage.clone())
                 else {
                     return;
                 };
                 if leg == l {
-                    out.push(Command::Far(office, id.clone(), Far::GiveUp { leg }));
-                    let end = (Outcome::TimedOut, Why::Unsaid, Report::default());
+                    out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
+                    let end = (Outcome::TimedOut, Cause::Unspecified, LoadReport::default());
                     self.on_ended(now, id, office, Some(leg), end, out);
                 }
             }
-            Wake::Deadline(id) => {
+            CallTimer::Deadline(id) => {
                 // An attempt that is out until the last moment has timed out: the module learns from that,
                 // and mostly gives the final answer itself.
                 if let Some(Stage::Out { leg, .. }) = self.calls.get(&id).map(|c| c.stage.clone()) {
-                    self.on_wake(now, Wake::Abandon(id.clone(), leg), out);
+                    self.on_wake(now, CallTimer::AttemptTimeout(id.clone(), leg), out);
                 }
                 let Some(Call { front, stage: Stage::Held, .. }) = self.calls.get(&id) else { return };
                 note_refusal(&id, "deadline");
-                out.push(Command::Near(*front, id.clone(), Near::Refuse(self.longest_wait())));
+                out.push(CallEffect::Caller(*front, id.clone(), CallerCommand::Refuse(self.longest_wait())));
                 self.forget(&id, |counts| counts.refused += 1);
                 self.decide(now, Event::Withdrawn(id), out);
             }
@@ -512,19 +530,28 @@
         &mut self,
         now: Time,
         id: &CallId,
-        (office, leg, sent): (OfficeId, u32, Time),
-        (outcome, why, report): (Outcome, Why, Report),
+        (office, leg, sent): (ExchangeId, u32, Time),
+        (outcome, why, report): (Outcome, Cause, LoadReport),
         closed: bool,
-        out: &mut Vec<Command>,
+        out: &mut Vec<CallEffect>,
     ) {
         let took = now - sent;
-        let answer =
-            Answer { id: id.clone(), leg, office, outcome, took, why, named_wait: None, closed, report };
-        self.decide(now, Event::Answer(answer), out);
+        let answer = AttemptResult {
+            id: id.clone(),
+            leg,
+            exchange: office,
+            outcome,
+            elapsed: took,
+            cause: why,
+            retry_after: None,
+            concluded: closed,
+            report,
+        };
+        self.decide(now, Event::AttemptEnded(answer), out);
     }
 
     /// Hands an event to the module and carries its actions out; a refused send is one more event.
-    fn decide(&mut self, now: Time, event: Event, out: &mut Vec<Command>) {
+    fn decide(&mut self, now: Time, event: Event, out: &mut Vec<CallEffect>) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -536,30 +563,32 @@
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Command>) -> Option<Event> {
+    fn act(&mut self, now: Time, action: Action, out: &mut Vec<CallEffect>) -> Option<Event> {
         match action {
-            Action::Attempt { id, office, abandon_at } => {
+            Action::Attempt { id, exchange: office, abandon_at } => {
                 return self.attempt(now, id, office, abandon_at, out)
             }
             Action::Refuse { id, cool_down, reason } => {
-                self.conclude(id, Near::Refuse(cool_down), reason.name(), out);
+                self.conclude(id, CallerCommand::Refuse(cool_down), reason.name(), out);
             }
-            Action::Fail(id) => self.conclude(id, Near::Fail, "may have run", out),
+            Action::Fail(id) => self.conclude(id, CallerCommand::Fail, "may have run", out),
             Action::Cancel { id, leg } => {
                 let Some(Stage::Out { office, leg: l, .. }) = self.calls.get(&id).map(|c| c.stage.clone())
                 else {
                     return None;
                 };
                 if l == leg {
-                    out.push(Command::Far(office, id.clone(), Far::GiveUp { leg }));
-                    let end = (Outcome::Cancelled, Why::Unsaid, Report::default());
+                    out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
+                    let end = (Outcome::Cancelled, Cause::Unspecified, LoadReport::default());
                     self.on_ended(now, id, office, Some(leg), end, out);
                 }
             }
-            Action::Timer { after, token } => out.push(Command::Wake(now + after, Wake::Module(token))),
-            Action::Log(text) => out.push(Command::Log(text)),
+            Action::Timer { after, token } => {
+                out.push(CallEffect::StartTimer(now + after, CallTimer::Controller(token)))
+            }
+            Action::Log(text) => out.push(CallEffect::Log(text)),
             // The deployment allows neither probes nor messages, and pushes its list.
-            Action::Probe(_) | Action::Tell { .. } | Action::Subscribe | Action::Pull => {}
+            Action::Probe(_) | Action::PeerMessage { .. } | Action::Subscribe | Action::FetchRoster => {}
         }
         None
     }
@@ -569,9 +598,9 @@
         &mut self,
         now: Time,
         id: CallId,
-        office: OfficeId,
+        office: ExchangeId,
         abandon_at: Time,
-        out: &mut Vec<Command>,
+        out: &mut Vec<CallEffect>,
     ) -> Option<Event> {
         let most = self.settings.max_attempts.max(1);
         let shut = self.closed_at.get(&office).is_some_and(|at| now - *at >= self.settings.drain_grace);
@@ -593,17 +622,17 @@
             None
         };
         if let Some(why) = forbidden {
-            out.push(Command::Log(format!("call {}: attempt {leg} held back: {why}", id.0)));
-            return Some(Event::Answer(Answer {
+            out.push(CallEffect::Log(format!("call {}: attempt {leg} held back: {why}", id.0)));
+            return Some(Event::AttemptEnded(AttemptResult {
                 id,
                 leg,
-                office,
-                outcome: Outcome::Moot,
-                took: 0.0,
-                why: Why::Unsaid,
-                named_wait: None,
-                closed: false,
-                report: Report::default(),
+                exchange: office,
+                outcome: Outcome::NotSent,
+                elapsed: 0.0,
+                cause: Cause::Unspecified,
+                retry_after: None,
+                concluded: false,
+                report: LoadReport::default(),
             }));
         }
         let until = if abandon_at.0 > 0.0 && abandon_at < call.deadline { abandon_at } else { call.deadline };
@@ -616,26 +645,26 @@
             number: call.number.clone(),
             width: call.width,
             description: call.description.clone(),
-            until,
+            abandon_at: until,
         };
         tracing::debug!(call = id.0, office = office.0, attempt = leg, direct, "attempt sent");
-        out.push(Command::Wake(until, Wake::Abandon(id.clone(), leg)));
-        out.push(Command::Far(office, id, Far::SetUp(set_up)));
+        out.push(CallEffect::StartTimer(until, CallTimer::AttemptTimeout(id.clone(), leg)));
+        out.push(CallEffect::Exchange(office, id, ExchangeCommand::SetUp(set_up)));
         None
     }
 
-    fn conclude(&mut self, id: CallId, near: Near, reason: &'static str, out: &mut Vec<Command>) {
+    fn conclude(&mut self, id: CallId, near: CallerCommand, reason: &'static str, out: &mut Vec<CallEffect>) {
         let Some(call) = self.calls.get(&id) else { return };
         match call.stage {
             Stage::Standing { .. } => return,
             Stage::Out { office, leg, .. } => {
-                out.push(Command::Far(office, id.clone(), Far::GiveUp { leg }));
+                out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
             }
             Stage::Held => {}
         }
-        let failed = near == Near::Fail;
+        let failed = near == CallerCommand::Fail;
         note_refusal(&id, reason);
-        out.push(Command::Near(call.front, id.clone(), near));
+        out.push(CallEffect::Caller(call.front, id.clone(), near));
         self.forget(&id, |counts| *(if failed { &mut counts.failed } else { &mut counts.refused }) += 1);
     }
 }
--- a/src/capture/mod.rs
+++ b/src/capture/mod.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::calls::tenants::{Change, Tenant};
-use crate::calls::{Command, Input};
+use crate::calls::{CallEffect, CallEvent};
 use crate::interface::{Settings, Time, Tuning};
 
 /// One entry of a capture.
@@ -29,11 +29,11 @@
     /// A call table began, knowing nothing but this.
     Start(Box<Start>),
     /// It was told something.
-    Told(Input),
+    Told(CallEvent),
     /// The administration changed its tenants.
     Tenants(Vec<Change>),
     /// What it commanded upon the entry before.
-    Commanded(Vec<Command>),
+    Commanded(Vec<CallEffect>),
     /// So many entries were dropped here, as whoever writes could not keep up.
     Gap(u64),
 }
--- a/src/capture/replay.rs
+++ b/src/capture/replay.rs
@@ -2,7 +2,7 @@
 
 use super::{Entry, What};
 use crate::calls::tenants::Tenants;
-use crate::calls::{Command, Table};
+use crate::calls::{CallEffect, Table};
 
 /// The first place at which the decisions differ.
 #[derive(Clone, Debug, PartialEq)]
@@ -10,9 +10,9 @@
     /// The entry that was answered differently.
     pub told: Entry,
     /// What was commanded then.
-    pub then: Vec<Command>,
+    pub then: Vec<CallEffect>,
     /// What is commanded now.
-    pub now: Vec<Command>,
+    pub now: Vec<CallEffect>,
 }
 
 /// What came of a replay.
@@ -58,7 +58,7 @@
                 table.handle(entry.at, input.clone(), &mut out);
                 done.inputs += 1;
                 // Where nothing was commanded nothing was written.
-                let then: &[Command] = match entries.get(ix + 1).map(|e| &e.what) {
+                let then: &[CallEffect] = match entries.get(ix + 1).map(|e| &e.what) {
                     Some(What::Commanded(commands)) => commands,
                     _ => &[],
                 };
--- a/src/config.rs
+++ b/src/config.rs
@@ -16,7 +16,7 @@
 use crate::admin::http::{Scope, Token};
 use crate::admin::netconf::Client;
 use crate::calls::tenants::Tenant;
-use crate::interface::{ExchangeNo, OfficeId, Secs, Settings};
+use crate::interface::{ExchangeId, ExchangeNumber, Secs, Settings};
 use crate::limits::descriptors;
 use crate::limits::memory::UNLIMITED_MB;
 use crate::net::bulletin::Source;
@@ -483,8 +483,8 @@
             return Err(source.fault(key("prefixes"), "no numbers lead there"));
         }
         Ok(Exchange {
-            office: OfficeId(SIP_OFFICES + ix as u64),
-            number: ExchangeNo(e.number),
+            office: ExchangeId(SIP_OFFICES + ix as u64),
+            number: ExchangeNumber(e.number),
             prefixes: e.prefixes,
             hop: Hop { transport, addr: e.address },
             circuits: e.circuits,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,11 +27,11 @@
 
 /// The id of an office (an exchange's processor, or a pool). It tells nothing of place or age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OfficeId(pub u64);
+pub struct ExchangeId(pub u64);
 
 /// The number of an exchange or pool; an office that takes another's place keeps its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ExchangeNo(pub i64);
+pub struct ExchangeNumber(pub i64);
 
 /// The id of a call, given back unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -39,32 +39,32 @@
 
 /// The position of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ClassIx(pub usize);
+pub struct ClassIndex(pub usize);
 
 /// A value chosen with [`Action::Timer`] and given back by [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Token(pub u64);
+pub struct TimerToken(pub u64);
 
 /// Where repeats of a guarded call are discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Scope {
+pub enum DuplicateScope {
     /// At every office.
     All,
     /// At the offices of one zone.
     Zone,
     /// At the offices of one number.
-    Cell,
+    Number,
 }
 
 /// What a repeated set-up may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Effect {
+pub enum RepeatSemantics {
     /// Repeats are harmless.
-    Free,
+    Idempotent,
     /// Repeats are discarded within a scope for a while.
-    Guarded(Scope),
+    Deduplicated(DuplicateScope),
     /// A set-up that may have run must not be repeated or refused.
-    SingleShot,
+    AtMostOnce,
 }
 
 /// One class of calls.
@@ -73,32 +73,32 @@
     /// Its name, for the adapter; no decision looks at it.
     pub name: String,
     /// The time within which a set-up earns the full worth.
-    pub aim: Secs,
+    pub target: Secs,
     /// How long a caller keeps trying, from the first try.
-    pub give_up: Secs,
+    pub give_up_after: Secs,
     /// What a repeated set-up may do.
-    pub effect: Effect,
+    pub repeat_semantics: RepeatSemantics,
     /// How long repeats of a guarded call are discarded.
-    pub window: Secs,
+    pub duplicate_window: Secs,
     /// The worth of a call that stands.
     pub worth: f64,
     /// The share of the worth when set up after the aim.
-    pub late_value: f64,
+    pub late_worth_share: f64,
     /// The circuits a call takes.
     pub width: u32,
     /// The mean length of a call.
-    pub mean_hold: Secs,
-    /// With [`Form::Skills`]: the pools it may go to; empty for all.
-    pub pools: Vec<ExchangeNo>,
+    pub mean_holding_time: Secs,
+    /// With [`ServiceKind::AgentPools`]: the pools it may go to; empty for all.
+    pub pools: Vec<ExchangeNumber>,
 }
 
 /// The kind of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Form {
+pub enum ServiceKind {
     /// Exchanges joined by trunk groups.
     Network,
     /// Pools of agents shared by all call servers.
-    Skills,
+    AgentPools,
 }
 
 /// How the list of offices arrives.
@@ -106,19 +106,19 @@
 pub enum Discovery {
     /// Unprompted.
     Pushed,
-    /// Only after [`Action::Subscribe`] or [`Action::Pull`].
+    /// Only after [`Action::Subscribe`] or [`Action::FetchRoster`].
     OnRequest,
 }
 
 /// How load reports arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Telemetry {
+pub enum LoadReporting {
     /// With outcomes and probe results.
-    Piggyback,
+    Piggybacked,
     /// With probe results alone.
-    Pull,
+    ProbesOnly,
     /// Never.
-    Silent,
+    Never,
 }
 
 /// What an instance is told at its start.
@@ -127,31 +127,31 @@
     /// The classes of call.
     pub classes: Vec<Class>,
     /// The number of call servers.
-    pub instances: u32,
-    /// The own exchange; `None` with [`Form::Skills`].
-    pub own: Option<ExchangeNo>,
+    pub proxies: u32,
+    /// The own exchange; `None` with [`ServiceKind::AgentPools`].
+    pub own_exchange: Option<ExchangeNumber>,
     /// The kind of service.
-    pub form: Form,
+    pub service_kind: ServiceKind,
     /// How the list of offices arrives.
     pub discovery: Discovery,
     /// How load reports arrive.
-    pub telemetry: Telemetry,
+    pub load_reporting: LoadReporting,
     /// The pause before a call is sent again after a time-out, reset or cancel.
-    pub release: Secs,
+    pub release_pause: Secs,
     /// When a waiting set-up is sent again by itself; 0 for never.
-    pub retransmit: Secs,
+    pub retransmit_after: Secs,
     /// A full processor names a wait.
-    pub says_wait: bool,
+    pub retry_after_provided: bool,
     /// Calls carry a centre's advice.
-    pub advised: bool,
+    pub centre_advises: bool,
     /// [`Action::Cancel`] is allowed.
-    pub cancel: bool,
+    pub cancel_allowed: bool,
     /// [`Action::Probe`] is allowed.
-    pub probing: bool,
-    /// [`Action::Tell`] is allowed.
-    pub peers: bool,
+    pub probing_allowed: bool,
+    /// [`Action::PeerMessage`] is allowed.
+    pub peer_messages_allowed: bool,
     /// Callers are given the `cool_down` of a refusal.
-    pub cool_down: bool,
+    pub cool_down_allowed: bool,
     /// The longest `cool_down` a caller heeds.
     pub max_cool_down: Secs,
     /// The most attempts of one call.
@@ -159,67 +159,67 @@
     /// How long after the deadline a final answer still counts.
     pub answer_slack: Secs,
     /// With [`Discovery::OnRequest`]: the longest time without asking.
-    pub ask_every: Secs,
+    pub poll_interval: Secs,
     /// The grace for sends to a draining office.
     pub drain_grace: Secs,
     /// A cold office starts at this share of its capacity or above.
-    pub cold_from: f64,
+    pub cold_share: f64,
     /// It is warm after this time at the latest.
-    pub warm_within: Secs,
+    pub warm_up_time: Secs,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// ... for this time, a cold office falls over.
-    pub fall: Secs,
+    pub collapse_time: Secs,
     /// The price of one probe a call.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     /// The shortest time between two batches of events.
     pub tick: Secs,
 }
 
 /// What a report says of the trunk group and of the far processor; `None` where it says nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Free circuits of the group (free agents of the pool).
-    pub free: Option<f64>,
+    pub free_circuits: Option<f64>,
     /// Size of the group.
-    pub size: Option<f64>,
+    pub group_size: Option<f64>,
     /// Messages in work at the processor.
-    pub active: Option<f64>,
+    pub active_messages: Option<f64>,
     /// Messages waiting there.
-    pub waiting: Option<f64>,
+    pub queued_messages: Option<f64>,
     /// Share of the processor that is busy.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Wait at the processor.
-    pub wait: Option<Secs>,
+    pub queueing_delay: Option<Secs>,
     /// New set-ups a second that it can take from all senders.
-    pub rate: Option<f64>,
+    pub set_up_rate: Option<f64>,
     /// Share of new set-ups it asks each sender to hold back.
-    pub hold_back: Option<f64>,
+    pub requested_reduction: Option<f64>,
 }
 
 /// The condition of an office on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Condition {
+pub enum ServiceState {
     /// In service.
-    On,
+    InService,
     /// Draining: nothing new goes there.
     Draining,
     /// Removed.
     #[default]
-    Off,
+    Removed,
 }
 
 /// One line of the list of offices.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Office {
+pub struct RosterEntry {
     /// Its id.
-    pub id: OfficeId,
+    pub id: ExchangeId,
     /// The zone it is in.
     pub zone: String,
     /// Its number.
-    pub number: ExchangeNo,
+    pub number: ExchangeNumber,
     /// Its condition.
-    pub condition: Condition,
+    pub state: ServiceState,
     /// A figure for comparison with other offices.
     pub weight: f64,
     /// Its last start; `None` for long ago.
@@ -228,15 +228,15 @@
 
 /// The kind of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum RosterKind {
     /// Changed entries only.
-    Changes,
+    Incremental,
     /// The whole list.
     Full,
     /// The whole list as last held before a restart, possibly outdated.
     Saved,
     /// A request failed; the list held stays in force.
-    Failed,
+    RequestFailed,
 }
 
 /// A call handed to this call server.
@@ -249,17 +249,17 @@
     /// It comes from another call server and goes on to its destination or back.
     pub transit: bool,
     /// The tandem with most room at the centre's last look; in transit, the exchange of origin.
-    pub hop: Option<ExchangeNo>,
+    pub hop: Option<ExchangeNumber>,
     /// It was cut and comes again.
-    pub came_back: bool,
+    pub re_established: bool,
     /// The circuits it takes.
     pub width: u32,
     /// A repeat by the caller, where callers mark repeats.
-    pub resent: bool,
+    pub redial: bool,
     /// The destination (the pool of first choice).
-    pub dest: ExchangeNo,
+    pub dest: ExchangeNumber,
     /// Its class.
-    pub class: ClassIx,
+    pub class: ClassIndex,
     /// The number called.
     pub number: Option<String>,
 }
@@ -268,11 +268,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The call has ended well.
-    Ended,
+    Completed,
     /// All lines busy, or a fault in signalling.
     Error,
     /// Turned away before it was set up.
-    Full,
+    Refused,
     /// No answer in time.
     TimedOut,
     /// No connection.
@@ -282,20 +282,20 @@
     /// Called off.
     Cancelled,
     /// Not sent.
-    Moot,
+    NotSent,
 }
 
 /// Why an attempt was turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum Cause {
     /// Nothing was said.
-    Unsaid,
+    Unspecified,
     /// No circuit or agent.
     NoCircuit,
     /// Turned back by the tandem.
-    TurnedBack,
+    Crankback,
     /// Turned back by the tandem since the processor beyond was full.
-    BeyondFull,
+    FarProcessorFull,
     /// The processor was full (not sent: the own one is down).
     ProcessorFull,
     /// All lines of the number are busy.
@@ -304,71 +304,71 @@
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct AttemptResult {
     /// The call.
     pub id: CallId,
     /// The number of the attempt.
     pub leg: u32,
     /// The office it went to.
-    pub office: OfficeId,
+    pub exchange: ExchangeId,
     /// How it ended.
     pub outcome: Outcome,
     /// The time since it was sent.
-    pub took: Secs,
+    pub elapsed: Secs,
     /// Why it was turned away.
-    pub why: Why,
+    pub cause: Cause,
     /// The wait named by a full processor.
-    pub named_wait: Option<Secs>,
+    pub retry_after: Option<Secs>,
     /// The call is concluded.
-    pub closed: bool,
+    pub concluded: bool,
     /// The report that came along.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What an instance sees.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the offices.
-    List {
+    Roster {
         /// The kind of list.
-        kind: ListKind,
+        kind: RosterKind,
         /// Its entries.
-        offices: Vec<Office>,
+        entries: Vec<RosterEntry>,
     },
     /// A call.
     Arrival(Arrival),
     /// The end of an attempt.
-    Answer(Answer),
+    AttemptEnded(AttemptResult),
     /// The call stands.
-    Stands {
+    Established {
         /// The call.
         id: CallId,
         /// The number of the attempt.
         leg: u32,
         /// The office it went to.
-        office: OfficeId,
+        exchange: ExchangeId,
         /// The time since it was sent.
-        took: Secs,
+        elapsed: Secs,
     },
     /// The caller has left, or the final answer is overdue.
     Withdrawn(CallId),
     /// A timer has fallen due.
-    Timer(Token),
+    Timer(TimerToken),
     /// A probe's result, or (unasked) a change of the free circuits toward an office.
     Status {
         /// The office.
-        office: OfficeId,
+        exchange: ExchangeId,
         /// It answered.
         ok: bool,
         /// The time since the probe; 0 where unasked.
-        took: Secs,
+        elapsed: Secs,
         /// What it says.
-        report: Report,
+        report: LoadReport,
     },
     /// The state of the trunk group and of the processor of an office is not told any longer: what was is old.
-    Unheard(OfficeId),
+    StatusLost(ExchangeId),
     /// A message from another call server.
-    Told {
+    PeerMessage {
         /// The sender.
         from: u32,
         /// What it says.
@@ -380,7 +380,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// It is for the own exchange, or of an unknown class.
-    NoWay,
+    Unroutable,
     /// No exchange of its number is in service.
     NotInService,
     /// The number called is gapped.
@@ -390,13 +390,13 @@
     /// The far processor is overloaded.
     FarOverload,
     /// The far exchange is paused, silent, or cold and has had its share.
-    Barred,
+    FarUnavailable,
     /// The own processor is cold and has had its share.
     OwnCold,
     /// No route has room.
     NoRoute,
     /// No attempt is left, or none could still be useful.
-    Spent,
+    Exhausted,
     /// What the last attempt met leaves nothing to try: lines or processors are busy.
     Busy,
 }
@@ -405,15 +405,15 @@
     /// Its name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::NoWay => "no way",
+            Refusal::Unroutable => "no way",
             Refusal::NotInService => "not in service",
             Refusal::Gapped => "gapped",
             Refusal::OwnOverload => "own overload",
             Refusal::FarOverload => "far overload",
-            Refusal::Barred => "barred",
+            Refusal::FarUnavailable => "barred",
             Refusal::OwnCold => "own cold",
             Refusal::NoRoute => "no route",
-            Refusal::Spent => "spent",
+            Refusal::Exhausted => "spent",
             Refusal::Busy => "busy",
         }
     }
@@ -427,7 +427,7 @@
         /// The call.
         id: CallId,
         /// Where it goes.
-        office: OfficeId,
+        exchange: ExchangeId,
         /// When it is given up.
         abandon_at: Time,
     },
@@ -454,12 +454,12 @@
         /// From now.
         after: Secs,
         /// Given back when due.
-        token: Token,
+        token: TimerToken,
     },
     /// Check an office.
-    Probe(OfficeId),
+    Probe(ExchangeId),
     /// Send a message to one call server, or to all.
-    Tell {
+    PeerMessage {
         /// To whom; `None` for all.
         to: Option<u32>,
         /// What it says, 256 bytes at most.
@@ -468,7 +468,7 @@
     /// Ask for changes of the list from now on.
     Subscribe,
     /// Ask for the whole list once.
-    Pull,
+    FetchRoster,
     /// A line for the log.
     Log(String),
 }
--- a/src/limits/connections.rs
+++ b/src/limits/connections.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::{OfficeId, Time};
+use crate::interface::{ExchangeId, Time};
 
 /// The most connections to one exchange at best.
 pub const BEST: usize = 3;
@@ -34,7 +34,7 @@
     /// It may be opened, and counts from now on.
     Open,
     /// This exchange is to give a connection up first; then ask again.
-    After(OfficeId),
+    After(ExchangeId),
     /// Not now.
     No,
 }
@@ -54,7 +54,7 @@
 pub struct ConnectionBudget {
     limit: usize,
     held: usize,
-    holders: BTreeMap<OfficeId, Holder>,
+    holders: BTreeMap<ExchangeId, Holder>,
 }
 
 impl ConnectionBudget {
@@ -94,20 +94,20 @@
     }
 
     /// An exchange is there.
-    pub fn listed(&mut self, now: Time, office: OfficeId) {
+    pub fn listed(&mut self, now: Time, office: ExchangeId) {
         let holder = Holder { connections: 0, busy: false, used: now, yielding: false };
         self.holders.entry(office).or_insert(holder);
     }
 
     /// An exchange is gone, with all its connections.
-    pub fn gone(&mut self, office: OfficeId) {
+    pub fn gone(&mut self, office: ExchangeId) {
         if let Some(holder) = self.holders.remove(&office) {
             self.held -= holder.connections;
         }
     }
 
     /// An exchange has come into use or out of it.
-    pub fn in_use(&mut self, now: Time, office: OfficeId, busy: bool) {
+    pub fn in_use(&mut self, now: Time, office: ExchangeId, busy: bool) {
         if let Some(holder) = self.holders.get_mut(&office) {
             holder.busy = busy;
             holder.used = now;
@@ -115,7 +115,7 @@
     }
 
     /// A connection is wanted.
-    pub fn ask(&mut self, office: OfficeId, purpose: Purpose) -> Grant {
+    pub fn ask(&mut self, office: ExchangeId, purpose: Purpose) -> Grant {
         let free = self.limit.saturating_sub(self.held);
         let (spare, best) = (self.spare(), self.best());
         let Some(holder) = self.holders.get_mut(&office) else { return Grant::No };
@@ -147,24 +147,24 @@
     }
 
     /// Exchanges that could give a connection up.
-    fn others(&self, asking: OfficeId) -> impl Iterator<Item = (&OfficeId, &Holder)> {
+    fn others(&self, asking: ExchangeId) -> impl Iterator<Item = (&ExchangeId, &Holder)> {
         self.holders.iter().filter(move |(id, h)| **id != asking && h.connections > 0 && !h.yielding)
     }
 
     /// Who holds the most, if that is more than one, with how many; an idle one before a busy one.
-    fn richest(&self, asking: OfficeId) -> Option<(OfficeId, usize)> {
+    fn richest(&self, asking: ExchangeId) -> Option<(ExchangeId, usize)> {
         let rich = self.others(asking).filter(|(_, holder)| holder.connections > 1);
         rich.max_by_key(|(_, holder)| (holder.connections, !holder.busy)).map(|(id, h)| (*id, h.connections))
     }
 
     /// Who is idle and has not been used for the longest.
-    fn idlest(&self, asking: OfficeId) -> Option<(OfficeId, usize)> {
+    fn idlest(&self, asking: ExchangeId) -> Option<(ExchangeId, usize)> {
         let idle = self.others(asking).filter(|(_, holder)| !holder.busy);
         idle.min_by(|(_, a), (_, b)| a.used.0.total_cmp(&b.used.0)).map(|(id, h)| (*id, h.connections))
     }
 
     /// A connection has ended, or was granted and did not come up.
-    pub fn ended(&mut self, office: OfficeId) {
+    pub fn ended(&mut self, office: ExchangeId) {
         if let Some(holder) = self.holders.get_mut(&office) {
             self.held -= holder.connections.min(1);
             holder.connections = holder.connections.saturating_sub(1);
@@ -173,7 +173,7 @@
     }
 
     /// An exchange can't give one up now.
-    pub fn refused(&mut self, office: OfficeId) {
+    pub fn refused(&mut self, office: ExchangeId) {
         if let Some(holder) = self.holders.get_mut(&office) {
             holder.yielding = false;
         }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -111,7 +111,7 @@
 /// What is known of one office: its list entry, the trunk group to it, its processor.
 #[derive(Clone, Debug, Default)]
 struct Far {
-    office: Office,
+    office: RosterEntry,
     free: Option<f64>,
     size: Option<f64>,
     overload: Overload,
@@ -136,13 +136,13 @@
 }
 
 impl Far {
-    fn new(office: Office, now: Time) -> Self {
+    fn new(office: RosterEntry, now: Time) -> Self {
         let overload = Overload { news_at: now, ..Overload::default() };
         Far { office, overload, paused_until: now, cold_at: now, ..Far::default() }
     }
 
     fn is_on(&self) -> bool {
-        self.office.condition == Condition::On
+        self.office.state == ServiceState::InService
     }
 
     /// Set-ups out that nothing sent later has overtaken.
@@ -166,18 +166,18 @@
         self.waiting().map(|sent| watch - sent).fold(0.0, f64::max)
     }
 
-    fn learn(&mut self, report: &Report, now: Time, onset: Secs) {
-        self.free = report.free.or(self.free);
-        self.size = report.size.or(self.size);
-        self.rate = report.rate.or(self.rate);
-        self.best_rate = self.best_rate.max(report.rate.unwrap_or(0.0));
-        let queued = match (report.waiting, report.rate) {
+    fn learn(&mut self, report: &LoadReport, now: Time, onset: Secs) {
+        self.free = report.free_circuits.or(self.free);
+        self.size = report.group_size.or(self.size);
+        self.rate = report.set_up_rate.or(self.rate);
+        self.best_rate = self.best_rate.max(report.set_up_rate.unwrap_or(0.0));
+        let queued = match (report.queued_messages, report.set_up_rate) {
             (Some(queue), Some(rate)) => Some(queue / rate.max(MIN_RATE)),
             // No queue is reported: a processor at half of its best rate takes an onset longer, and so on.
             (None, Some(rate)) => Some((self.best_rate / rate.max(MIN_RATE) - 1.0) * onset),
             _ => None,
         };
-        if let Some(wait) = report.wait.or(queued) {
+        if let Some(wait) = report.queueing_delay.or(queued) {
             // A report that stops moving is old: it keeps the time at which it last changed.
             if self.reported.is_none_or(|(old, _)| old != wait) {
                 self.reported = Some((wait, now));
@@ -206,7 +206,7 @@
     /// No attempt is out; sent again no earlier than the release allows.
     Held,
     Out {
-        office: OfficeId,
+        office: ExchangeId,
         leg: u32,
         sent: Time,
     },
@@ -221,9 +221,9 @@
     attempts: u32,
     stage: Stage,
     not_before: Time,
-    tried: Vec<OfficeId>,
+    tried: Vec<ExchangeId>,
     /// The first attempt that may have run: where and when.
-    may_have_run: Option<(OfficeId, Time)>,
+    may_have_run: Option<(ExchangeId, Time)>,
 }
 
 /// The decisions of one call server.
@@ -233,23 +233,23 @@
     tuning: Tuning,
     rng: fastrand::Rng,
     aim: Secs,
-    fars: BTreeMap<OfficeId, Far>,
+    fars: BTreeMap<ExchangeId, Far>,
     /// The office in service under each number; the youngest where a replacement overlaps the old one.
-    serving: BTreeMap<ExchangeNo, OfficeId>,
+    serving: BTreeMap<ExchangeNumber, ExchangeId>,
     own: Overload,
     /// The last few ends of set-ups: how much longer than the quickest they took, and when they came.
     ends: VecDeque<(Secs, Time)>,
     own_news: bool,
     calls: BTreeMap<CallId, Call>,
-    timers: BTreeMap<Token, Option<CallId>>,
+    timers: BTreeMap<TimerToken, Option<CallId>>,
     next_token: u64,
-    weights: BTreeMap<(ExchangeNo, ExchangeNo), f64>,
+    weights: BTreeMap<(ExchangeNumber, ExchangeNumber), f64>,
     /// Call gapping of numbers whose lines were all busy: until when, and how long.
     gaps: BTreeMap<String, (Time, Secs)>,
     /// When the first try to a number was refused here, for as long as its callers may still be in time.
     turned_away: BTreeMap<String, Time>,
     /// How often each length of a try was seen, by class and in twentieths of a second.
-    tries: BTreeMap<(ClassIx, i64), u32>,
+    tries: BTreeMap<(ClassIndex, i64), u32>,
     /// Arrivals a second here, a running mean, for the size of a processor.
     offered: f64,
     /// The quickest direct set-up seen.
@@ -270,7 +270,7 @@
 
     /// The same with other tuned values.
     pub fn tuned(settings: Settings, tuning: Tuning, seed: u64) -> Self {
-        let aims = settings.classes.iter().map(|c| c.aim).filter(|a| *a > 0.0);
+        let aims = settings.classes.iter().map(|c| c.target).filter(|a| *a > 0.0);
         let aim = aims.fold(f64::INFINITY, f64::min);
         Controller {
             rng: fastrand::Rng::with_seed(seed),
@@ -313,41 +313,44 @@
         self.watch = self.watch + (now - self.last_event).clamp(0.0, self.tuning.onset_max * self.aim);
         self.last_event = now;
         match event {
-            Event::List { kind, offices } => self.on_list(now, kind, offices, out),
+            Event::Roster { kind, entries: offices } => self.on_list(now, kind, offices, out),
             Event::Arrival(arrival) => self.on_arrival(now, arrival, out),
-            Event::Answer(answer) => self.on_answer(now, answer, out),
-            Event::Stands { id, leg, office, took } => self.on_stands(now, &id, leg, office, took),
+            Event::AttemptEnded(answer) => self.on_answer(now, answer, out),
+            Event::Established { id, leg, exchange: office, elapsed: took } => {
+                self.on_stands(now, &id, leg, office, took)
+            }
             Event::Withdrawn(id) => self.forget(&id),
             Event::Timer(token) => self.on_timer(now, token, out),
-            Event::Status { office, ok, report, .. } => self.on_status(now, office, ok, &report),
-            Event::Unheard(office) => {
+            Event::Status { exchange: office, ok, report, .. } => self.on_status(now, office, ok, &report),
+            Event::StatusLost(office) => {
                 if let Some(far) = self.fars.get_mut(&office) {
                     (far.free, far.reported) = (None, None);
                 }
             }
-            Event::Told { .. } => {}
+            Event::PeerMessage { .. } => {}
         }
     }
 
     /// The level of the own processor, and those of far ones in service.
-    pub fn levels(&self) -> (usize, Vec<(ExchangeNo, usize)>) {
-        let far = |(no, id): (&ExchangeNo, &OfficeId)| self.fars.get(id).map(|f| (*no, f.overload.level));
+    pub fn levels(&self) -> (usize, Vec<(ExchangeNumber, usize)>) {
+        let far =
+            |(no, id): (&ExchangeNumber, &ExchangeId)| self.fars.get(id).map(|f| (*no, f.overload.level));
         (self.own.level, self.serving.iter().filter_map(far).collect())
     }
 
     // ---- Guards: the list, drains, cold starts, release ----------------------------------------
 
-    fn on_list(&mut self, now: Time, kind: ListKind, offices: Vec<Office>, out: &mut Vec<Action>) {
-        if kind == ListKind::Failed {
+    fn on_list(&mut self, now: Time, kind: RosterKind, offices: Vec<RosterEntry>, out: &mut Vec<Action>) {
+        if kind == RosterKind::RequestFailed {
             if self.settings.discovery == Discovery::OnRequest {
-                self.timer(self.settings.ask_every / 4.0, None, out);
+                self.timer(self.settings.poll_interval / 4.0, None, out);
             }
             return;
         }
-        if kind != ListKind::Changes {
+        if kind != RosterKind::Incremental {
             for far in self.fars.values_mut() {
                 if !offices.iter().any(|o| o.id == far.office.id) {
-                    far.office.condition = Condition::Off;
+                    far.office.state = ServiceState::Removed;
                 }
             }
         }
@@ -380,17 +383,17 @@
         // Replaced offices never come back: keep none but those with a set-up still out.
         let serving = &self.serving;
         self.fars.retain(|_, far| {
-            let gone = far.office.condition == Condition::Off && serving.contains_key(&far.office.number);
+            let gone = far.office.state == ServiceState::Removed && serving.contains_key(&far.office.number);
             !gone || !far.pending.is_empty()
         });
     }
 
-    fn office_of(&self, number: ExchangeNo) -> Option<OfficeId> {
+    fn office_of(&self, number: ExchangeNumber) -> Option<ExchangeId> {
         self.serving.get(&number).copied()
     }
 
     fn is_cold(&self, far: &Far, now: Time) -> bool {
-        far.office.ready_at.is_some_and(|at| now - at < self.settings.warm_within)
+        far.office.ready_at.is_some_and(|at| now - at < self.settings.warm_up_time)
     }
 
     /// Set-ups in a span of `fall` that this instance may send to a cold office: its share of what all
@@ -401,11 +404,11 @@
         let least = 1.0 / (self.tuning.onset_max * self.aim);
         let seen = 2.0 / self.quickest.max(MIN_RATE);
         let capacity = far.best_rate.max(2.0 * self.offered).max(seen).max(least);
-        let all = s.fall_multiple * s.cold_from * capacity * s.fall;
+        let all = s.collapse_multiple * s.cold_share * capacity * s.collapse_time;
         // A processor's own call server gives it about half of its work, the others share the rest.
-        let others = f64::from(s.instances.saturating_sub(1).max(1));
+        let others = f64::from(s.proxies.saturating_sub(1).max(1));
         let own = self.tuning.own_part;
-        let part = if Some(far.office.number) == s.own { own } else { (1.0 - own) / others };
+        let part = if Some(far.office.number) == s.own_exchange { own } else { (1.0 - own) / others };
         (all * part).max(0.0)
     }
 
@@ -413,7 +416,7 @@
     /// large fleet, where each has far less than one, not all send their first at once.
     fn cold_credit(&self, far: &Far, now: Time) -> f64 {
         let share = self.cold_share(far);
-        let filled = share * (now - far.cold_at) / self.settings.fall.max(1e-3);
+        let filled = share * (now - far.cold_at) / self.settings.collapse_time.max(1e-3);
         (far.cold_credit + filled).min((share / 2.0).max(1.0))
     }
 
@@ -421,25 +424,25 @@
         self.is_cold(far, now) && self.cold_credit(far, now) < 1.0
     }
 
-    fn own_office(&self) -> Option<OfficeId> {
-        self.settings.own.and_then(|n| self.office_of(n))
+    fn own_office(&self) -> Option<ExchangeId> {
+        self.settings.own_exchange.and_then(|n| self.office_of(n))
     }
 
     /// Whether the rules on repeats let this call go to this office now.
     fn may_send(&self, call: &Call, far: &Far, now: Time) -> bool {
         let Some((first, sent)) = call.may_have_run else { return true };
         let class = &self.settings.classes[call.arrival.class.0];
-        let group = match class.effect {
-            Effect::Free => return true,
-            Effect::SingleShot => return false,
-            Effect::Guarded(scope) => scope,
+        let group = match class.repeat_semantics {
+            RepeatSemantics::Idempotent => return true,
+            RepeatSemantics::AtMostOnce => return false,
+            RepeatSemantics::Deduplicated(scope) => scope,
         };
         let first = self.fars.get(&first).map(|f| &f.office);
-        now - sent < class.window
+        now - sent < class.duplicate_window
             && match group {
-                Scope::All => true,
-                Scope::Zone => first.is_some_and(|o| o.zone == far.office.zone),
-                Scope::Cell => first.is_some_and(|o| o.number == far.office.number),
+                DuplicateScope::All => true,
+                DuplicateScope::Zone => first.is_some_and(|o| o.zone == far.office.zone),
+                DuplicateScope::Number => first.is_some_and(|o| o.number == far.office.number),
             }
     }
 
@@ -490,7 +493,7 @@
     }
 
     /// Brings the own level and that of one office up to date.
-    fn refresh(&mut self, office: OfficeId, now: Time) {
+    fn refresh(&mut self, office: ExchangeId, now: Time) {
         let own_wait = self.refresh_own(now);
         self.refresh_far(office, own_wait, now);
     }
@@ -516,7 +519,7 @@
         own_wait.unwrap_or(0.0)
     }
 
-    fn refresh_far(&mut self, office: OfficeId, own_wait: Secs, now: Time) {
+    fn refresh_far(&mut self, office: ExchangeId, own_wait: Secs, now: Time) {
         let (aim, fresh, onset) = (self.aim, self.fresh(), self.onset(now));
         let (watch, set_up) = (self.watch, self.speed(now).map_or(0.0, |speed| 1.0 / speed));
         let Some(far) = self.fars.get_mut(&office) else { return };
@@ -545,8 +548,8 @@
     /// Callers that do not mark redials still show them: first tries all bring the same time to live,
     /// later ones what is left of the give-up time. The commonest length seen is taken for the first try's.
     fn looks_resent(&mut self, arrival: &Arrival) -> bool {
-        if arrival.transit || arrival.came_back || arrival.resent {
-            return arrival.resent;
+        if arrival.transit || arrival.re_established || arrival.redial {
+            return arrival.redial;
         }
         let slot = (arrival.ttl / TTL_SLOT).round().clamp(0.0, 1e9) as i64;
         *self.tries.entry((arrival.class, slot)).or_insert(0) += 1;
@@ -562,7 +565,7 @@
     }
 
     fn on_arrival(&mut self, now: Time, mut arrival: Arrival, out: &mut Vec<Action>) {
-        arrival.resent = self.looks_resent(&arrival) && !self.still_in_aim(&arrival, now);
+        arrival.redial = self.looks_resent(&arrival) && !self.still_in_aim(&arrival, now);
         let gap = (now - self.last_arrival).max(1e-3);
         let blend = 1.0 - (-gap / self.tuning.traffic_span).exp();
         self.offered += blend * (1.0 / gap - self.offered);
@@ -589,7 +592,7 @@
     fn rank(&self, arrival: &Arrival) -> Rank {
         let worth = |ix: usize| self.settings.classes.get(ix).map_or(0.0, |c| c.worth);
         let least = self.settings.classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min);
-        match (arrival.came_back, arrival.resent) {
+        match (arrival.re_established, arrival.redial) {
             (true, _) => Rank::Urgent,
             (_, true) => Rank::Redial,
             _ if worth(arrival.class.0) > least => Rank::Urgent,
@@ -602,9 +605,9 @@
     fn refusal(&mut self, call: &Call, now: Time, out: &mut Vec<Action>) -> Option<Refusal> {
         let arrival = &call.arrival;
         // A call to a number of the own exchange has no office to go to: a send to oneself is a fault.
-        let to_self = self.settings.own == Some(arrival.dest);
+        let to_self = self.settings.own_exchange == Some(arrival.dest);
         if to_self || arrival.class.0 >= self.settings.classes.len() {
-            return Some(Refusal::NoWay);
+            return Some(Refusal::Unroutable);
         }
         if self.gapped(arrival, now) {
             return Some(Refusal::Gapped);
@@ -612,7 +615,7 @@
         let Some(dest) = self.office_of(arrival.dest) else { return Some(Refusal::NotInService) };
         let rank = self.rank(arrival);
         if let Some(own) = self.own_office() {
-            if self.settings.probing && now - self.probed_at >= self.tuning.probe_aims * self.aim {
+            if self.settings.probing_allowed && now - self.probed_at >= self.tuning.probe_aims * self.aim {
                 self.probed_at = now;
                 out.push(Action::Probe(own));
             }
@@ -622,18 +625,18 @@
             return Some(Refusal::OwnOverload);
         }
         let Some(far) = self.fars.get(&dest) else { return Some(Refusal::NotInService) };
-        if self.barred(far, now) && self.settings.form == Form::Network {
-            return Some(Refusal::Barred);
+        if self.barred(far, now) && self.settings.service_kind == ServiceKind::Network {
+            return Some(Refusal::FarUnavailable);
         }
         let trial = far.silent_since.is_some();
-        if trial || arrival.transit || self.settings.form == Form::Skills {
+        if trial || arrival.transit || self.settings.service_kind == ServiceKind::AgentPools {
             return None;
         }
         let far = self.fars.get_mut(&dest)?;
         far.overload.refuses(rank, &self.tuning.refused).then_some(Refusal::FarOverload)
     }
 
-    fn on_status(&mut self, now: Time, office: OfficeId, ok: bool, report: &Report) {
+    fn on_status(&mut self, now: Time, office: ExchangeId, ok: bool, report: &LoadReport) {
         let onset = self.onset(now);
         self.own_news |= self.own_office() == Some(office);
         let Some(far) = self.fars.get_mut(&office) else { return };
@@ -662,19 +665,19 @@
     }
 
     /// Direct while the group has room, else over a tandem.
-    fn route(&mut self, call: &Call, now: Time) -> Option<OfficeId> {
+    fn route(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
         let arrival = &call.arrival;
         let dest = self.office_of(arrival.dest);
         if let Some(far) = dest.and_then(|d| self.fars.get(&d)) {
             // A marked redial mostly stands late: it must not take the last circuits from first tries.
-            let kept = if arrival.transit || arrival.resent { self.reserve(far) } else { 0.0 };
+            let kept = if arrival.transit || arrival.redial { self.reserve(far) } else { 0.0 };
             let fits = Self::room(far, arrival.width, kept) && !self.barred(far, now);
             let again = call.tried.contains(&far.office.id) && call.may_have_run.is_none();
             if fits && !again && self.may_send(call, far, now) {
                 return dest;
             }
         }
-        if arrival.transit || arrival.resent {
+        if arrival.transit || arrival.redial {
             return None;
         }
         self.draw_tandem(call, now)
@@ -682,18 +685,18 @@
 
     /// A weighted draw of the tandems whose leg has more than the reserve free. A call over a tandem is
     /// work for a third processor, so only processors at no overload take part.
-    fn draw_tandem(&mut self, call: &Call, now: Time) -> Option<OfficeId> {
+    fn draw_tandem(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
         let own_wait = self.refresh_own(now);
         if self.own.level > 0 {
             return None;
         }
         let arrival = &call.arrival;
         let pools = &self.settings.classes[arrival.class.0].pools;
-        let skills = self.settings.form == Form::Skills;
+        let skills = self.settings.service_kind == ServiceKind::AgentPools;
         let usable = |far: &&Far| {
             let number = far.office.number;
             let allowed = !skills || pools.is_empty() || pools.contains(&number);
-            Some(number) != self.settings.own
+            Some(number) != self.settings.own_exchange
                 && number != arrival.dest
                 && allowed
                 && self.serving.get(&number) == Some(&far.office.id)
@@ -730,7 +733,7 @@
         hit.or(weighted.last()).map(|(id, _)| *id)
     }
 
-    fn weigh(&mut self, dest: ExchangeNo, tandem: OfficeId, good: bool) {
+    fn weigh(&mut self, dest: ExchangeNumber, tandem: ExchangeId, good: bool) {
         let Some(number) = self.fars.get(&tandem).map(|f| f.office.number) else { return };
         if number == dest {
             return;
@@ -742,7 +745,7 @@
     // ---- Attempt life cycle --------------------------------------------------------------------
 
     fn class_aim(&self, arrival: &Arrival) -> Secs {
-        self.settings.classes.get(arrival.class.0).map_or(self.aim, |c| c.aim)
+        self.settings.classes.get(arrival.class.0).map_or(self.aim, |c| c.target)
     }
 
     /// Sends a held call, or gives its final answer where nothing is left to try in time.
@@ -751,14 +754,14 @@
         let useful_until = call.arrived + self.class_aim(&call.arrival).min(call.deadline - call.arrived);
         if now < call.not_before {
             if call.not_before >= useful_until {
-                return self.conclude(id, Refusal::Spent, out);
+                return self.conclude(id, Refusal::Exhausted, out);
             }
             let after = (call.not_before - now) + self.settings.tick.max(1e-3);
             return self.timer(after, Some(id.clone()), out);
         }
         let most = self.settings.max_attempts.clamp(1, self.tuning.most_tries);
         if call.attempts >= most || now >= useful_until {
-            return self.conclude(id, Refusal::Spent, out);
+            return self.conclude(id, Refusal::Exhausted, out);
         }
         if let Some(own) = self.own_office().and_then(|o| self.fars.get(&o)) {
             if self.cold_refuses(own, now) {
@@ -771,15 +774,16 @@
         }
     }
 
-    fn send(&mut self, now: Time, id: &CallId, office: OfficeId, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Time, id: &CallId, office: ExchangeId, out: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(id) else { return };
-        let aim = self.settings.classes.get(call.arrival.class.0).map_or(self.aim, |c| c.aim);
+        let aim = self.settings.classes.get(call.arrival.class.0).map_or(self.aim, |c| c.target);
         let Some(far) = self.fars.get_mut(&office) else { return };
         let abandon_at = call.arrived + aim.min(call.deadline - call.arrived);
         call.stage = Stage::Out { office, leg: call.attempts, sent: now };
         call.attempts += 1;
         call.tried.push(office);
-        let direct = far.office.number == call.arrival.dest || self.settings.form == Form::Skills;
+        let direct =
+            far.office.number == call.arrival.dest || self.settings.service_kind == ServiceKind::AgentPools;
         far.pending.push((id.clone(), self.watch, direct));
         for id in [Some(office), self.own_office()].into_iter().flatten() {
             let left = self.fars.get(&id).map_or(0.0, |far| self.cold_credit(far, now) - 1.0);
@@ -787,10 +791,10 @@
                 (far.cold_credit, far.cold_at) = (left.max(0.0), now);
             }
         }
-        out.push(Action::Attempt { id: id.clone(), office, abandon_at });
+        out.push(Action::Attempt { id: id.clone(), exchange: office, abandon_at });
     }
 
-    fn on_stands(&mut self, now: Time, id: &CallId, leg: u32, office: OfficeId, took: Secs) {
+    fn on_stands(&mut self, now: Time, id: &CallId, leg: u32, office: ExchangeId, took: Secs) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let Stage::Out { leg: l, office: o, sent } = call.stage else { return };
         if l != leg || o != office {
@@ -806,7 +810,7 @@
             took = (took - stood_still.max(0.0)).max(0.0);
             far.settle(id, true);
             waited = took - far.base.unwrap_or(self.quickest.min(took));
-            if far.office.number == dest || self.settings.form == Form::Skills {
+            if far.office.number == dest || self.settings.service_kind == ServiceKind::AgentPools {
                 (far.delay, far.news) = (Some((took, now)), true);
                 self.quickest = self.quickest.min(took.max(0.0));
                 far.base = Some(far.base.map_or(took, |b| b.min(took)));
@@ -821,13 +825,13 @@
         self.refresh(office, now);
     }
 
-    fn on_answer(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
+    fn on_answer(&mut self, now: Time, answer: AttemptResult, out: &mut Vec<Action>) {
         let id = answer.id.clone();
         let onset = self.onset(now);
-        if let Some(far) = self.fars.get_mut(&answer.office) {
+        if let Some(far) = self.fars.get_mut(&answer.exchange) {
             far.learn(&answer.report, now, onset);
         }
-        if answer.closed {
+        if answer.concluded {
             return self.forget(&id);
         }
         let Some(call) = self.calls.get_mut(&id) else { return };
@@ -838,43 +842,44 @@
         let (dest, number) = (call.arrival.dest, call.arrival.number.clone());
         call.stage = Stage::Held;
         // A refusal may jump the line: only what stands tells of it.
-        let overtaken = self.fars.get_mut(&answer.office).is_some_and(|far| far.settle(&id, false));
-        let never_ran = matches!(answer.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let overtaken = self.fars.get_mut(&answer.exchange).is_some_and(|far| far.settle(&id, false));
+        let never_ran =
+            matches!(answer.outcome, Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent);
         if !never_ran && call.may_have_run.is_none() {
-            call.may_have_run = Some((answer.office, sent));
+            call.may_have_run = Some((answer.exchange, sent));
         }
         let mut again = true;
-        if let (Outcome::Full, Some(far)) = (answer.outcome, self.fars.get_mut(&answer.office)) {
+        if let (Outcome::Refused, Some(far)) = (answer.outcome, self.fars.get_mut(&answer.exchange)) {
             far.paused_until = Time(far.paused_until.0.max(now.0 + self.tuning.refused_pause));
         }
-        match (answer.outcome, answer.why) {
+        match (answer.outcome, answer.cause) {
             (Outcome::TimedOut, _) => {
-                call.not_before = now + self.settings.release;
+                call.not_before = now + self.settings.release_pause;
                 if !overtaken {
-                    self.learn_silence(now, dest, answer.office, answer.took);
+                    self.learn_silence(now, dest, answer.exchange, answer.elapsed);
                 }
             }
-            (Outcome::Reset | Outcome::Cancelled, _) => call.not_before = now + self.settings.release,
-            (Outcome::Error, Why::LinesBusy) => {
+            (Outcome::Reset | Outcome::Cancelled, _) => call.not_before = now + self.settings.release_pause,
+            (Outcome::Error, Cause::LinesBusy) => {
                 self.gap(now, number);
                 again = false;
             }
-            (Outcome::Full, Why::ProcessorFull) => {
-                self.learn_full(now, answer.office, answer.named_wait);
-                again = self.fars.get(&answer.office).is_some_and(|f| f.office.number != dest);
+            (Outcome::Refused, Cause::ProcessorFull) => {
+                self.learn_full(now, answer.exchange, answer.retry_after);
+                again = self.fars.get(&answer.exchange).is_some_and(|f| f.office.number != dest);
             }
-            (Outcome::Full, Why::BeyondFull) => {
+            (Outcome::Refused, Cause::FarProcessorFull) => {
                 if let Some(far) = self.office_of(dest) {
                     self.learn_full(now, far, None);
                 }
                 again = false;
             }
-            (Outcome::Full, Why::TurnedBack) => self.weigh(dest, answer.office, false),
-            (Outcome::Moot, Why::ProcessorFull) => {
+            (Outcome::Refused, Cause::Crankback) => self.weigh(dest, answer.exchange, false),
+            (Outcome::NotSent, Cause::ProcessorFull) => {
                 self.own.raise(now);
                 again = false;
             }
-            (Outcome::ConnectFailed, _) => self.learn_silence(now, dest, answer.office, answer.took),
+            (Outcome::ConnectFailed, _) => self.learn_silence(now, dest, answer.exchange, answer.elapsed),
             _ => {}
         }
         if again {
@@ -886,11 +891,11 @@
 
     /// No answer: the wait is at least the time we waited. Through a tandem either end may be at fault, so
     /// only the weight of the pair is lowered.
-    fn learn_silence(&mut self, now: Time, dest: ExchangeNo, office: OfficeId, took: Secs) {
+    fn learn_silence(&mut self, now: Time, dest: ExchangeNumber, office: ExchangeId, took: Secs) {
         self.weigh(dest, office, false);
         let own_wait = self.own_wait(now).unwrap_or(0.0);
         let Some(far) = self.fars.get_mut(&office) else { return };
-        if far.office.number == dest || self.settings.form == Form::Skills {
+        if far.office.number == dest || self.settings.service_kind == ServiceKind::AgentPools {
             let known_silent = far.silent_since.is_some();
             (far.delay, far.news) = (Some((took, now)), true);
             // Where the own processor may have held the set-up, its silence says nothing of the far end.
@@ -904,7 +909,7 @@
         self.refresh(office, now);
     }
 
-    fn learn_full(&mut self, now: Time, office: OfficeId, named: Option<Secs>) {
+    fn learn_full(&mut self, now: Time, office: ExchangeId, named: Option<Secs>) {
         let Some(far) = self.fars.get_mut(&office) else { return };
         far.overload.raise(now);
         far.silent_since = None;
@@ -920,7 +925,7 @@
         self.gaps.insert(number, (now + length, length));
     }
 
-    fn on_timer(&mut self, now: Time, token: Token, out: &mut Vec<Action>) {
+    fn on_timer(&mut self, now: Time, token: TimerToken, out: &mut Vec<Action>) {
         match self.timers.remove(&token) {
             Some(Some(id)) => self.advance(now, &id, out),
             Some(None) => out.push(Action::Subscribe),
@@ -929,7 +934,7 @@
     }
 
     fn timer(&mut self, after: Secs, call: Option<CallId>, out: &mut Vec<Action>) {
-        let token = Token(self.next_token);
+        let token = TimerToken(self.next_token);
         self.next_token += 1;
         self.timers.insert(token, call);
         out.push(Action::Timer { after: after.max(0.0), token });
@@ -945,13 +950,18 @@
         }
         let class = self.settings.classes.get(call.arrival.class.0);
         let refusable = call.may_have_run.is_none()
-            || class.is_none_or(|c| matches!(c.effect, Effect::Free | Effect::Guarded(Scope::All)));
+            || class.is_none_or(|c| {
+                matches!(
+                    c.repeat_semantics,
+                    RepeatSemantics::Idempotent | RepeatSemantics::Deduplicated(DuplicateScope::All)
+                )
+            });
         out.push(if refusable {
             // A call refused early may yet stand in its aim if the caller is back soon; a number whose lines
             // are all busy is better left alone.
             let gapped = self.gapped(&call.arrival, call.arrived);
             let wait = if gapped { f64::INFINITY } else { self.tuning.cool_down_aims * self.aim };
-            let cool_down = self.settings.cool_down.then_some(wait.min(self.settings.max_cool_down));
+            let cool_down = self.settings.cool_down_allowed.then_some(wait.min(self.settings.max_cool_down));
             Action::Refuse { id: id.clone(), cool_down, reason }
         } else {
             Action::Fail(id.clone())
--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{CallId, Report, Secs, Time};
+use crate::interface::{CallId, LoadReport, Secs, Time};
 
 /// When the detector acts, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -179,7 +179,7 @@
     }
 
     /// A connection has brought the state of the trunk group.
-    pub fn state(&mut self, now: Time, connection: u64, report: &Report) {
+    pub fn state(&mut self, now: Time, connection: u64, report: &LoadReport) {
         // That of the processes which hold calls: a connection that has just come up proves nothing of them.
         let proof = self.oldest_proof();
         let Some(at) = self.connections.get_mut(&connection) else { return };
@@ -204,8 +204,8 @@
     }
 
     /// Compares the circuits in use with those of our calls.
-    fn count(&mut self, now: Time, proof: Option<Time>, report: &Report) {
-        let (Some(free), Some(size)) = (report.free, report.size) else { return };
+    fn count(&mut self, now: Time, proof: Option<Time>, report: &LoadReport) {
+        let (Some(free), Some(size)) = (report.free_circuits, report.group_size) else { return };
         self.used = Some(size - free);
         if !self.counts_fewer() {
             self.counts_ours |= !self.calls.is_empty();
@@ -226,9 +226,9 @@
 
     /// Whether a state shows as many circuits in use as we hold there. Where it tells no circuits, a process whose
     /// connections are still open is believed to be the one that tells it.
-    fn holds_our_calls(&self, process: Process, report: &Report) -> bool {
+    fn holds_our_calls(&self, process: Process, report: &LoadReport) -> bool {
         let ours = self.circuits_held();
-        match (report.free, report.size) {
+        match (report.free_circuits, report.group_size) {
             (Some(free), Some(size)) => size - free + 1e-9 >= f64::from(ours),
             _ => self.calls.values().all(|call| {
                 call.process == process || self.connections.values().any(|c| c.process == call.process)
--- a/src/net/bulletin.rs
+++ b/src/net/bulletin.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
     /// Its line for the module.
-    pub office: Office,
+    pub office: RosterEntry,
     /// Where it listens.
     pub addr: SocketAddr,
 }
@@ -96,7 +96,7 @@
 #[derive(Debug, Default)]
 pub struct List {
     last: u64,
-    ids: BTreeMap<String, OfficeId>,
+    ids: BTreeMap<String, ExchangeId>,
     given: u64,
     /// Events up to here were asked for again: what is still missing then was never written.
     asked: u64,
@@ -153,20 +153,20 @@
         let mut gone = Vec::new();
         for line in roster.instances {
             let condition = match line.lifecycle.as_str() {
-                "ready" => Condition::On,
-                "draining" => Condition::Draining,
-                _ => Condition::Off,
+                "ready" => ServiceState::InService,
+                "draining" => ServiceState::Draining,
+                _ => ServiceState::Removed,
             };
-            if condition == Condition::Off {
+            if condition == ServiceState::Removed {
                 gone.push(line.instance_id.clone());
             }
             let id = *self.ids.entry(line.instance_id).or_insert_with(|| {
                 self.given += 1;
-                OfficeId(self.given)
+                ExchangeId(self.given)
             });
             let ready_at = (line.started_at_ms > 0.0).then_some(Time(line.started_at_ms / 1000.0));
-            let (zone, number, weight) = (line.zone, ExchangeNo(line.cell), line.weight);
-            let office = Office { id, zone, number, condition, weight, ready_at };
+            let (zone, number, weight) = (line.zone, ExchangeNumber(line.cell), line.weight);
+            let office = RosterEntry { id, zone, number, state: condition, weight, ready_at };
             listed.push(Listed { office, addr: line.host_port });
         }
         if roster.reset {
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -11,7 +11,7 @@
 use super::post;
 use super::sip::SipMail;
 use crate::calls::wheel::Wheel;
-use crate::calls::{Input, Wake};
+use crate::calls::{CallEvent, CallTimer};
 use crate::interface::{Secs, Time};
 use crate::sip::agent::Alarm;
 
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub enum Due {
     /// The core wants to be woken.
-    Core(Wake),
+    Core(CallTimer),
     /// The SIP front does.
     Sip(Alarm),
     /// The platform's front looks after its connections.
@@ -77,7 +77,7 @@
         }
         for due in wheel.due(clock.now()) {
             match (due, &sip) {
-                (Due::Core(wake), _) => post(&engine, EngineMail::Input(Input::Woken(wake))).await,
+                (Due::Core(wake), _) => post(&engine, EngineMail::Input(CallEvent::TimerExpired(wake))).await,
                 (Due::Sip(alarm), Some(sip)) => post(sip, SipMail::Woken(alarm)).await,
                 (Due::Sip(_), None) => {}
                 (Due::Front, _) => {
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -13,7 +13,7 @@
 use super::sip::SipMail;
 use super::{post, Tasks};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::calls::{Command, Far, Front, Input, Table};
+use crate::calls::{CallEffect, CallEvent, ExchangeCommand, Front, Table};
 use crate::interface::*;
 use crate::recovery::shutdown::Shutdown;
 use crate::telemetry;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub enum EngineMail {
     /// Something for the core.
-    Input(Input),
+    Input(CallEvent),
     /// News of the exchanges.
     List {
         /// The whole list, or changes.
@@ -63,7 +63,7 @@
     /// Where new actors start.
     pub tasks: Tasks,
     /// The own exchange.
-    pub own: Option<ExchangeNo>,
+    pub own: Option<ExchangeNumber>,
     /// No caller waits longer than this.
     pub longest_deadline: Secs,
     /// What the actors of exchanges need.
@@ -77,13 +77,13 @@
     /// The SIP front, unless it is off.
     pub sip: Option<Sender<SipMail>>,
     /// The exchanges that speak SIP: they are on no list and always on.
-    pub sip_offices: Vec<Office>,
+    pub sip_offices: Vec<RosterEntry>,
 }
 
 impl Engine {
     /// Runs until the program has drained.
     pub async fn run(mut self, mail: Receiver<EngineMail>) {
-        let mut peers: BTreeMap<OfficeId, Sender<PeerMail>> = BTreeMap::new();
+        let mut peers: BTreeMap<ExchangeId, Sender<PeerMail>> = BTreeMap::new();
         let mut commands = Vec::new();
         let (mut ready, mut patient) = (false, true);
         let mut drain_at: Option<Time> = None;
@@ -103,11 +103,15 @@
                     if whole {
                         offices.extend(self.sip_offices.iter().cloned());
                     }
-                    self.table.handle(now, Input::List { whole, offices }, &mut commands);
+                    self.table.handle(
+                        now,
+                        CallEvent::Roster { full: whole, entries: offices },
+                        &mut commands,
+                    );
                     self.carry_out(&mut commands, &peers).await;
                     for office in gone {
                         if let Some(peer) = peers.remove(&office) {
-                            self.inform(&peer, PeerMail::Condition(Condition::Off));
+                            self.inform(&peer, PeerMail::Condition(ServiceState::Removed));
                         }
                     }
                 }
@@ -183,13 +187,13 @@
         &self,
         whole: bool,
         listed: &[Listed],
-        peers: &mut BTreeMap<OfficeId, Sender<PeerMail>>,
-    ) -> Vec<OfficeId> {
+        peers: &mut BTreeMap<ExchangeId, Sender<PeerMail>>,
+    ) -> Vec<ExchangeId> {
         let mut gone = Vec::new();
         for Listed { office, addr } in listed {
             let id = office.id;
-            match office.condition {
-                Condition::Off => gone.push(id),
+            match office.state {
+                ServiceState::Removed => gone.push(id),
                 condition if self.own != Some(office.number) => {
                     let start = || peer::start(self.peers.clone(), id, *addr);
                     let peer = peers.entry(id).or_insert_with(start);
@@ -207,13 +211,17 @@
         gone
     }
 
-    async fn carry_out(&mut self, commands: &mut Vec<Command>, peers: &BTreeMap<OfficeId, Sender<PeerMail>>) {
+    async fn carry_out(
+        &mut self,
+        commands: &mut Vec<CallEffect>,
+        peers: &BTreeMap<ExchangeId, Sender<PeerMail>>,
+    ) {
         // A command that can't be delivered may bring more.
         while !commands.is_empty() {
             for command in std::mem::take(commands) {
                 tracing::trace!(?command);
                 match command {
-                    Command::Near(front, id, near) => {
+                    CallEffect::Caller(front, id, near) => {
                         let told = match front {
                             Front::Platform => {
                                 let mail = FrontMail::Near(id, near);
@@ -228,9 +236,9 @@
                             tracing::error!("a front has ended: an answer is lost");
                         }
                     }
-                    Command::Far(office, id, far) => {
+                    CallEffect::Exchange(office, id, far) => {
                         let set_up = match &far {
-                            Far::SetUp(set_up) => Some(set_up.leg),
+                            ExchangeCommand::SetUp(set_up) => Some(set_up.leg),
                             _ => None,
                         };
                         let sent = if self.sip_offices.iter().any(|o| o.id == office) {
@@ -242,18 +250,25 @@
                         };
                         if let (false, Some(leg)) = (sent, set_up) {
                             tracing::warn!(office = office.0, "no way to an exchange: its set-up never left");
-                            let (outcome, why) = (Outcome::ConnectFailed, Why::Unsaid);
-                            let (leg, report) = (Some(leg), Report::default());
-                            let input = Input::Ended { id, office, leg, outcome, why, report };
+                            let (outcome, why) = (Outcome::ConnectFailed, Cause::Unspecified);
+                            let (leg, report) = (Some(leg), LoadReport::default());
+                            let input = CallEvent::SetUpFailed {
+                                id,
+                                exchange: office,
+                                leg,
+                                outcome,
+                                cause: why,
+                                report,
+                            };
                             self.table.handle(self.clock.now(), input, commands);
                         }
                     }
-                    Command::Wake(at, wake) => {
+                    CallEffect::StartTimer(at, wake) => {
                         if self.alarms.try_send((at, Due::Core(wake))).is_err() {
                             tracing::error!("the clock has ended: an alarm is lost");
                         }
                     }
-                    Command::Log(text) => tracing::warn!("{text}"),
+                    CallEffect::Log(text) => tracing::warn!("{text}"),
                 }
             }
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -170,7 +170,7 @@
             sip_offices = at.exchanges.iter().map(|e| e.line()).collect();
             let class = |c: &crate::interface::Class| ClassOfCall {
                 name: c.name.clone(),
-                give_up: c.give_up,
+                give_up: c.give_up_after,
                 width: c.width,
             };
             let setup = Setup {
@@ -234,8 +234,8 @@
             }
         };
         tasks.spawn(told).detach();
-        let own = config.settings.own;
-        let longest_deadline = config.settings.classes.iter().map(|c| c.give_up).fold(0.0, f64::max);
+        let own = config.settings.own_exchange;
+        let longest_deadline = config.settings.classes.iter().map(|c| c.give_up_after).fold(0.0, f64::max);
         let mut table = Table::new(config.settings, Tenants::new(config.tenants), config.seed, clock.now());
         table.limit_bytes(memory.calls);
         let module = engine::Engine {
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::{Peer, PendingInvite};
-use crate::calls::{Far, Input, SetUp};
+use crate::calls::{CallEvent, ExchangeCommand, SetUp};
 use crate::interface::*;
 use crate::sip::message::Message;
 use crate::sip::{cause, verdict};
@@ -19,32 +19,32 @@
 const GIVEN_UP: usize = 256;
 
 impl Peer {
-    pub(super) async fn command(&mut self, id: CallId, far: Far) {
-        if matches!(far, Far::Release { .. }) {
+    pub(super) async fn command(&mut self, id: CallId, far: ExchangeCommand) {
+        if matches!(far, ExchangeCommand::Release { .. }) {
             self.liveness.over(&id);
         }
         if self.connections.is_empty() {
             return self.command_without_connection(id, far).await;
         }
         match far {
-            Far::GiveUp { leg } => self.give_up(id, leg).await,
-            Far::SetUp(_) | Far::Release { .. } => self.put(id, far),
+            ExchangeCommand::CancelSetUp { leg } => self.give_up(id, leg).await,
+            ExchangeCommand::SetUp(_) | ExchangeCommand::Release { .. } => self.put(id, far),
         }
         self.connect();
     }
 
-    async fn command_without_connection(&mut self, id: CallId, far: Far) {
-        let set_ups = self.waiting.iter().filter(|(_, far)| matches!(far, Far::SetUp(_))).count();
-        let no_way = set_ups >= WAITING_SET_UPS || self.condition != Condition::On;
+    async fn command_without_connection(&mut self, id: CallId, far: ExchangeCommand) {
+        let set_ups = self.waiting.iter().filter(|(_, far)| matches!(far, ExchangeCommand::SetUp(_))).count();
+        let no_way = set_ups >= WAITING_SET_UPS || self.condition != ServiceState::InService;
         match far {
-            Far::SetUp(set_up) if no_way => {
-                let none = Report::default();
-                self.ended(id, Some(set_up.leg), Outcome::ConnectFailed, Why::Unsaid, none).await;
+            ExchangeCommand::SetUp(set_up) if no_way => {
+                let none = LoadReport::default();
+                self.ended(id, Some(set_up.leg), Outcome::ConnectFailed, Cause::Unspecified, none).await;
             }
-            Far::SetUp(_) | Far::Release { .. } => self.waiting.push_back((id, far)),
+            ExchangeCommand::SetUp(_) | ExchangeCommand::Release { .. } => self.waiting.push_back((id, far)),
             // A set-up that has not left needs no giving up: it is taken back.
-            Far::GiveUp { .. } => {
-                self.waiting.retain(|(w, f)| *w != id || !matches!(f, Far::SetUp(_)));
+            ExchangeCommand::CancelSetUp { .. } => {
+                self.waiting.retain(|(w, f)| *w != id || !matches!(f, ExchangeCommand::SetUp(_)));
             }
         }
         self.connect();
@@ -52,13 +52,14 @@
 
     /// What waited for a connection gets none.
     pub(super) async fn fail_waiting(&mut self) {
-        let (set_ups, releases): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|(_, far)| matches!(far, Far::SetUp(_)));
+        let (set_ups, releases): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
+            .into_iter()
+            .partition(|(_, far)| matches!(far, ExchangeCommand::SetUp(_)));
         self.waiting.extend(releases);
         for (id, far) in set_ups {
-            if let Far::SetUp(set_up) = far {
+            if let ExchangeCommand::SetUp(set_up) = far {
                 let leg = Some(set_up.leg);
-                self.ended(id, leg, Outcome::ConnectFailed, Why::Unsaid, Report::default()).await;
+                self.ended(id, leg, Outcome::ConnectFailed, Cause::Unspecified, LoadReport::default()).await;
             }
         }
     }
@@ -71,9 +72,17 @@
     }
 
     /// Puts a command on a connection: a set-up where the fewest are open, a release where something was heard last.
-    pub(super) fn put(&mut self, id: CallId, far: Far) {
+    pub(super) fn put(&mut self, id: CallId, far: ExchangeCommand) {
         let (no, message) = match far {
-            Far::SetUp(SetUp { leg, class, number, width, direct, description, until }) => {
+            ExchangeCommand::SetUp(SetUp {
+                leg,
+                class,
+                number,
+                width,
+                direct,
+                description,
+                abandon_at: until,
+            }) => {
                 let sent = self.now();
                 let left = ((until - sent) * 1000.0).max(1.0);
                 let mut message = self.request("INVITE", &number, &id, 1);
@@ -85,8 +94,8 @@
                 (*no, message)
             }
             // Given up where it is out.
-            Far::GiveUp { .. } => return,
-            Far::Release { .. } => {
+            ExchangeCommand::CancelSetUp { .. } => return,
+            ExchangeCommand::Release { .. } => {
                 let latest = self.connections.iter().max_by(|(_, a), (_, b)| a.heard.0.total_cmp(&b.heard.0));
                 let Some((no, _)) = latest else { return };
                 (*no, self.request("BYE", "call", &id, 2).with("Reason", "Q.850;cause=16"))
@@ -136,7 +145,7 @@
         for (no, id, leg) in lost {
             tracing::debug!(office = self.office.0, call = id.0, "set-up overtaken: called off");
             self.call_off(no, id.clone());
-            self.ended(id, Some(leg), Outcome::Cancelled, Why::Unsaid, Report::default()).await;
+            self.ended(id, Some(leg), Outcome::Cancelled, Cause::Unspecified, LoadReport::default()).await;
             self.replace(no);
         }
     }
@@ -145,12 +154,18 @@
         let id = CallId(message.get("Call-ID").unwrap_or("").to_owned());
         let report = report_of(&message);
         match message.method() {
-            Some("NOTIFY") => self.tell(Input::Status { office: self.office, report }).await,
+            Some("NOTIFY") => self.tell(CallEvent::Status { exchange: self.office, report }).await,
             Some("BYE") => {
                 self.write(no, &Message::response(200, "OK", &message.headers));
                 self.liveness.over(&id);
                 let whole = cause(&message) == Some(16);
-                self.tell(Input::Released { id, office: self.office, whole, report }).await;
+                self.tell(CallEvent::ExchangeReleased {
+                    id,
+                    exchange: self.office,
+                    completed: whole,
+                    report,
+                })
+                .await;
             }
             Some("OPTIONS") => self.write(no, &Message::response(200, "OK", &message.headers)),
             Some("ACK") => {}
@@ -159,7 +174,7 @@
         }
     }
 
-    async fn response(&mut self, no: u64, id: CallId, message: Message, report: Report) {
+    async fn response(&mut self, no: u64, id: CallId, message: Message, report: LoadReport) {
         let (Some(status), Some((_, "INVITE"))) = (message.status(), message.cseq()) else { return };
         if status < 200 {
             return;
@@ -186,7 +201,7 @@
                 self.liveness.stands(now, no, id.clone(), invite.width);
             }
             let description = Arc::from(message.body);
-            self.tell(Input::Answered { id, office: self.office, leg, description }).await;
+            self.tell(CallEvent::Answered { id, exchange: self.office, leg, description }).await;
             if let Some(invite) = invite.filter(|i| i.direct && i.sent > self.latest_answered) {
                 self.latest_answered = invite.sent;
                 self.call_off_lost().await;
@@ -196,14 +211,14 @@
         let (outcome, why) = verdict(status, message.get("X-Outcome"));
         if leg.is_some() {
             self.ended(id, leg, outcome, why, report).await;
-        } else if report != Report::default() {
-            self.tell(Input::Status { office: self.office, report }).await;
+        } else if report != LoadReport::default() {
+            self.tell(CallEvent::Status { exchange: self.office, report }).await;
         }
     }
 }
 
 /// The report that a message carries in `X-Gauges`; what can't be read is left out.
-pub(super) fn report_of(message: &Message) -> Report {
+pub(super) fn report_of(message: &Message) -> LoadReport {
     let pairs = message.get("X-Gauges").unwrap_or_default().split(';').filter_map(|pair| {
         let (name, value) = pair.split_once(':')?;
         Some((name.trim().to_owned(), value.trim().parse().ok()?))
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -5,7 +5,7 @@
 use smol::net::TcpStream;
 
 use super::{Connection, Peer, PeerMail, CONNECTIONS};
-use crate::calls::{Far, Input};
+use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
 use crate::membership::liveness::Ending;
@@ -28,7 +28,7 @@
 impl Peer {
     /// Opens what is missing, as far as the budget of connections allows.
     pub(super) fn connect(&mut self) {
-        while !self.retrying && self.condition == Condition::On {
+        while !self.retrying && self.condition == ServiceState::InService {
             let there = self.connections.len() + self.connecting;
             if there >= CONNECTIONS {
                 return;
@@ -118,7 +118,7 @@
         tracing::warn!(office = self.office.0, "exchange died: its calls are released");
         self.suspect = false;
         self.liveness.died();
-        self.tell(Input::Died(self.office)).await;
+        self.tell(CallEvent::ExchangeDown(self.office)).await;
     }
 
     pub(super) async fn lost(&mut self, no: u64, why: String, ours: bool, ending: Ending) {
@@ -129,7 +129,7 @@
         if ours {
             // An answer may have crossed, or was the one that could not be read: nothing is left standing for it.
             for (id, invite) in &lost.open {
-                let release = Far::Release { leg: Some(invite.leg) };
+                let release = ExchangeCommand::Release { leg: Some(invite.leg) };
                 match self.connections.is_empty() {
                     true => self.waiting.push_back((id.clone(), release)),
                     false => self.put(id.clone(), release),
@@ -147,7 +147,7 @@
         self.suspect |= last;
         self.connect();
         self.end_open(lost).await;
-        if last && self.condition == Condition::Draining {
+        if last && self.condition == ServiceState::Draining {
             // It has stopped. Whoever listens at its address next is another one, and is on the list as such.
             self.died().await;
         }
@@ -155,7 +155,7 @@
 
     pub(super) async fn end_open(&mut self, connection: Connection) {
         for (id, invite) in connection.open {
-            self.ended(id, Some(invite.leg), Outcome::Reset, Why::Unsaid, Report::default()).await;
+            self.ended(id, Some(invite.leg), Outcome::Reset, Cause::Unspecified, LoadReport::default()).await;
         }
     }
 
@@ -207,13 +207,13 @@
         self.liveness.closed(self.now(), no, Ending::Broken);
         if self.connections.is_empty() {
             // Its state is not told any longer.
-            self.tell(Input::Unheard(self.office)).await;
+            self.tell(CallEvent::StatusLost(self.office)).await;
         }
     }
 
     /// Nothing new goes to an exchange that drains: its connections are closed once nothing is left there.
     pub(super) fn close_if_drained(&mut self) {
-        if self.condition != Condition::Draining || self.is_busy() {
+        if self.condition != ServiceState::Draining || self.is_busy() {
             return;
         }
         let left: Vec<u64> = self.connections.keys().copied().collect();
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -19,7 +19,7 @@
 use super::engine::EngineMail;
 use super::permits::{Permit, Permits};
 use super::{post, Tasks};
-use crate::calls::{Far, Input};
+use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::BEST;
 use crate::membership::liveness::{Ending, Liveness, Timing};
@@ -32,9 +32,9 @@
 #[derive(Debug)]
 pub enum PeerMail {
     /// A command for a call.
-    Command(CallId, Far),
+    Command(CallId, ExchangeCommand),
     /// The list says so.
-    Condition(Condition),
+    Condition(ServiceState),
     /// The list says that its process started then.
     Started(Time),
     /// A connection has come up, or has not.
@@ -97,11 +97,11 @@
 }
 
 struct Peer {
-    office: OfficeId,
+    office: ExchangeId,
     addr: SocketAddr,
     shared: Shared,
     own_mailbox: Sender<PeerMail>,
-    condition: Condition,
+    condition: ServiceState,
     /// Connections by number; what one that is no longer here still brings is ignored.
     connections: BTreeMap<u64, Connection>,
     /// Connections whose way out is closed, for what the other side still says.
@@ -115,7 +115,7 @@
     /// The latest sending of a set-up that stands.
     latest_answered: Time,
     /// What waits for a connection.
-    waiting: VecDeque<(CallId, Far)>,
+    waiting: VecDeque<(CallId, ExchangeCommand)>,
     given_up: VecDeque<CallId>,
     liveness: Liveness,
     /// When the next liveness check is due, if one is under way.
@@ -131,7 +131,7 @@
 }
 
 /// Starts the actor; it ends when its exchange is gone.
-pub fn start(shared: Shared, office: OfficeId, addr: SocketAddr) -> Sender<PeerMail> {
+pub fn start(shared: Shared, office: ExchangeId, addr: SocketAddr) -> Sender<PeerMail> {
     // What is posted here is bounded by those who post: calls by their records, connections by the readers' turns.
     let (mailbox, mail) = unbounded();
     shared.permits.listed(office, mailbox.clone());
@@ -139,7 +139,7 @@
         office,
         addr,
         own_mailbox: mailbox.clone(),
-        condition: Condition::On,
+        condition: ServiceState::InService,
         connections: BTreeMap::new(),
         retired: BTreeMap::new(),
         next: 0,
@@ -165,7 +165,7 @@
     async fn run(mut self, mail: Receiver<PeerMail>) {
         self.connect();
         while let Ok(mail) = mail.recv().await {
-            if matches!(mail, PeerMail::Condition(Condition::Off)) {
+            if matches!(mail, PeerMail::Condition(ServiceState::Removed)) {
                 return self.end().await;
             }
             self.take(mail).await;
@@ -202,7 +202,7 @@
     /// The exchange is gone. Whatever is still queued goes out before the connections close.
     async fn end(mut self) {
         tracing::info!(office = self.office.0, addr = %self.addr, "exchange gone");
-        self.condition = Condition::Off;
+        self.condition = ServiceState::Removed;
         self.shared.permits.gone(self.office);
         let connections = std::mem::take(&mut self.connections);
         self.fail_waiting().await;
@@ -211,9 +211,9 @@
         }
     }
 
-    async fn condition(&mut self, condition: Condition) {
+    async fn condition(&mut self, condition: ServiceState) {
         self.condition = condition;
-        if condition == Condition::Draining {
+        if condition == ServiceState::Draining {
             // Nothing that waited for a connection may leave once it drains.
             self.fail_waiting().await;
         }
@@ -279,12 +279,13 @@
         self.shared.tasks.spawn(posted).detach();
     }
 
-    async fn tell(&self, input: Input) {
+    async fn tell(&self, input: CallEvent) {
         post(&self.shared.engine, EngineMail::Input(input)).await;
     }
 
-    async fn ended(&self, id: CallId, leg: Option<u32>, outcome: Outcome, why: Why, report: Report) {
-        self.tell(Input::Ended { id, office: self.office, leg, outcome, why, report }).await;
+    async fn ended(&self, id: CallId, leg: Option<u32>, outcome: Outcome, why: Cause, report: LoadReport) {
+        self.tell(CallEvent::SetUpFailed { id, exchange: self.office, leg, outcome, cause: why, report })
+            .await;
     }
 
     fn write(&self, no: u64, message: &Message) {
--- a/src/net/peer/watch.rs
+++ b/src/net/peer/watch.rs
@@ -1,7 +1,7 @@
 //! Carries out what the failure detector of the exchange ([`crate::membership::liveness`]) asks for.
 
 use super::{Peer, PeerMail};
-use crate::calls::{Far, Input};
+use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
 use crate::membership::liveness::{Effect, Ending};
@@ -84,7 +84,7 @@
         if let Some(no) = self.verifying.take() {
             self.lost(no, "it told no state".to_owned(), false, Ending::Broken).await;
         }
-        let stopped = self.condition == Condition::Draining && self.connections.is_empty();
+        let stopped = self.condition == ServiceState::Draining && self.connections.is_empty();
         if self.connecting > 0 || stopped {
             return;
         }
@@ -109,15 +109,16 @@
         telemetry::exchange_lease_expired(calls.len());
         for id in &calls {
             tracing::debug!(office, call = id.0, "call released: its exchange is silent");
-            let (id, report) = (id.clone(), Report::default());
-            self.tell(Input::Released { id, office: self.office, whole: false, report }).await;
+            let (id, report) = (id.clone(), LoadReport::default());
+            self.tell(CallEvent::ExchangeReleased { id, exchange: self.office, completed: false, report })
+                .await;
         }
         for no in connections {
             self.lost(no, "silent".to_owned(), false, Ending::Broken).await;
         }
         // Should it come back with them, it has to end them as well.
         for id in calls {
-            self.command(id, Far::Release { leg: None }).await;
+            self.command(id, ExchangeCommand::Release { leg: None }).await;
         }
     }
 }
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -9,7 +9,7 @@
 
 use super::clock::Clock;
 use super::peer::PeerMail;
-use crate::interface::OfficeId;
+use crate::interface::ExchangeId;
 use crate::limits::connections::{ConnectionBudget, Grant, Purpose};
 use crate::telemetry;
 
@@ -28,13 +28,13 @@
 pub struct Permits {
     clock: Clock,
     budget: RefCell<ConnectionBudget>,
-    peers: RefCell<BTreeMap<OfficeId, Sender<PeerMail>>>,
+    peers: RefCell<BTreeMap<ExchangeId, Sender<PeerMail>>>,
 }
 
 /// The right to one descriptor for an exchange. Dropped, it is free again.
 pub struct Permit {
     permits: Rc<Permits>,
-    office: OfficeId,
+    office: ExchangeId,
 }
 
 impl std::fmt::Debug for Permit {
@@ -57,7 +57,7 @@
     }
 
     /// An exchange is there. Says once where not every exchange can have a connection.
-    pub fn listed(&self, office: OfficeId, mailbox: Sender<PeerMail>) {
+    pub fn listed(&self, office: ExchangeId, mailbox: Sender<PeerMail>) {
         let mut budget = self.budget.borrow_mut();
         let fitted = budget.fits();
         budget.listed(self.clock.now(), office);
@@ -69,18 +69,18 @@
     }
 
     /// An exchange is gone.
-    pub fn gone(&self, office: OfficeId) {
+    pub fn gone(&self, office: ExchangeId) {
         self.budget.borrow_mut().gone(office);
         self.peers.borrow_mut().remove(&office);
     }
 
     /// An exchange has set-ups open or calls that stand, or has none any more.
-    pub fn in_use(&self, office: OfficeId, busy: bool) {
+    pub fn in_use(&self, office: ExchangeId, busy: bool) {
         self.budget.borrow_mut().in_use(self.clock.now(), office, busy);
     }
 
     /// An exchange can't give a connection up now.
-    pub fn keeps(&self, office: OfficeId) {
+    pub fn keeps(&self, office: ExchangeId) {
         self.budget.borrow_mut().refused(office);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// An exchange wants a connection.
-    pub fn ask(self: &Rc<Self>, office: OfficeId, purpose: Purpose) -> Answer {
+    pub fn ask(self: &Rc<Self>, office: ExchangeId, purpose: Purpose) -> Answer {
         let grant = self.budget.borrow_mut().ask(office, purpose);
         match grant {
             Grant::Open => Answer::Granted(Permit { permits: self.clone(), office }),
