--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -14,7 +14,7 @@
 use super::engine::EngineMail;
 use super::permits::Permits;
 use super::{post, post_when_calm, Tasks};
-use crate::calls::{Front, Input, Near, Reject, Request};
+use crate::calls::{CallEvent, CallerCommand, Front, RejectReason, Request};
 use crate::interface::*;
 use crate::limits::memory::WaitingReleases;
 use crate::recovery::shutdown::Shutdown;
@@ -44,7 +44,7 @@
     /// A connection brings something.
     Heard(u64, Heard),
     /// The core answers a caller.
-    Near(CallId, Near),
+    Near(CallId, CallerCommand),
     /// Tests pass from now on.
     Ready,
     /// Time to look after the connections.
@@ -313,7 +313,7 @@
         self.lines.get(&no).is_some_and(|line| line.conn.write(message))
     }
 
-    async fn tell(&self, input: Input) {
+    async fn tell(&self, input: CallEvent) {
         post(&self.front.engine, EngineMail::Input(input)).await;
     }
 
@@ -332,7 +332,7 @@
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
         for id in open {
             self.calls.remove(&id);
-            self.tell(Input::GaveUp(id)).await;
+            self.tell(CallEvent::CallerGaveUp(id)).await;
         }
     }
 
@@ -368,11 +368,11 @@
             Some("CANCEL") => match self.take_back(no, &id) {
                 Some(leg) => {
                     self.write(no, &Message::response(487, "Request Terminated", &leg.headers));
-                    self.tell(Input::GaveUp(id)).await;
+                    self.tell(CallEvent::CallerGaveUp(id)).await;
                 }
                 // It crossed the answer: the call stands and is not wanted.
                 None if self.calls.get(&id).is_some_and(|leg| leg.conn == no) => {
-                    self.tell(Input::GaveUp(id)).await;
+                    self.tell(CallEvent::CallerGaveUp(id)).await;
                 }
                 None => self.unknown(no, &message),
             },
@@ -380,12 +380,12 @@
                 if let Some(leg) = self.take_back(no, &id) {
                     self.write(no, &Message::response(487, "Request Terminated", &leg.headers));
                     self.unknown(no, &message);
-                    self.tell(Input::GaveUp(id)).await;
+                    self.tell(CallEvent::CallerGaveUp(id)).await;
                 } else if self.calls.get(&id).is_some_and(|leg| leg.answered) {
                     self.write(no, &Message::response(200, "OK", &message.headers));
                     self.over_on_its_connection(&id);
                     self.calls.remove(&id);
-                    self.tell(Input::Hangup(id)).await;
+                    self.tell(CallEvent::CallerReleased(id)).await;
                 } else {
                     self.unknown(no, &message);
                 }
@@ -456,19 +456,19 @@
             line.open += 1;
         }
         self.calls.insert(id, Leg { conn: no, headers: message.headers, uri, answered: false });
-        self.tell(Input::Request(request)).await;
+        self.tell(CallEvent::Request(request)).await;
     }
 
-    fn near(&mut self, id: CallId, near: Near) {
-        if matches!(near, Near::Release { .. }) {
+    fn near(&mut self, id: CallId, near: CallerCommand) {
+        if matches!(near, CallerCommand::Release { .. }) {
             self.over_on_its_connection(&id);
         }
         let Some(leg) = self.calls.get_mut(&id) else { return };
         let respond = |status, reason| Message::response(status, reason, &leg.headers);
         // What is turned down as it makes no sense proves nothing of its sender.
-        let sense = !matches!(near, Near::Reject(_));
+        let sense = !matches!(near, CallerCommand::Reject(_));
         let (message, over) = match near {
-            Near::Answer(description) => {
+            CallerCommand::Answer(description) => {
                 let mut message = respond(200, "OK");
                 message.body = description.to_vec();
                 leg.answered = true;
@@ -476,17 +476,17 @@
                 leg.headers = Vec::new();
                 (message, false)
             }
-            Near::Refuse(wait) => {
+            CallerCommand::Refuse(wait) => {
                 let message = respond(503, "Service Unavailable");
                 let cooled = |s: Secs| message.clone().with("X-Cooldown", (s * 1000.0).round().max(0.0));
                 (wait.map_or(message.clone(), cooled), true)
             }
-            Near::Fail => (respond(500, "Server Internal Error"), true),
-            Near::Reject(Reject::Class) => (respond(488, "Not Acceptable Here"), true),
-            Near::Reject(Reject::Tenant) => (respond(403, "Forbidden"), true),
-            Near::Reject(Reject::Destination) => (respond(404, "Not Found"), true),
-            Near::Reject(Reject::Figure) => (respond(400, "Bad Request"), true),
-            Near::Release { whole } => {
+            CallerCommand::Fail => (respond(500, "Server Internal Error"), true),
+            CallerCommand::Reject(RejectReason::UnknownClass) => (respond(488, "Not Acceptable Here"), true),
+            CallerCommand::Reject(RejectReason::UnknownTenant) => (respond(403, "Forbidden"), true),
+            CallerCommand::Reject(RejectReason::UnknownDestination) => (respond(404, "Not Found"), true),
+            CallerCommand::Reject(RejectReason::OutOfRange) => (respond(400, "Bad Request"), true),
+            CallerCommand::Release { completed: whole } => {
                 let message = Message::request("BYE", &leg.uri)
                     .with("Via", "SIP/2.0/TCP proxy")
                     .with("Call-ID", &id.0)
@@ -575,11 +575,11 @@
         tenant: message.get("X-Tenant").map(str::to_owned),
         ttl: wait / 1000.0,
         transit: flag(["transit", "midflow"])?,
-        hop: attr(["via", "hop"])?.filter(|n| *n != -1).map(ExchangeNo),
-        came_back: flag(["again", "came_back"])?,
-        resent: message.get("X-Resent").is_some_and(|v| v.trim() == "1"),
+        hop: attr(["via", "hop"])?.filter(|n| *n != -1).map(ExchangeNumber),
+        re_established: flag(["again", "came_back"])?,
+        redial: message.get("X-Resent").is_some_and(|v| v.trim() == "1"),
         width,
-        dest: ExchangeNo(dest),
+        dest: ExchangeNumber(dest),
         number: number.to_owned(),
         description: Arc::from(message.body.as_slice()),
     })
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -14,7 +14,7 @@
 use super::conn::{Conn, Heard, Outboxes, Over};
 use super::engine::EngineMail;
 use super::{or_late, post, Tasks};
-use crate::calls::{Far, Near};
+use crate::calls::{CallerCommand, ExchangeCommand};
 use crate::interface::*;
 use crate::sip::agent::{Agent, Alarm, Output, Setup};
 use crate::sip::header::{Hop, Transport};
@@ -31,9 +31,9 @@
 #[derive(Debug)]
 pub enum SipMail {
     /// The core answers a caller.
-    Near(CallId, Near),
+    Near(CallId, CallerCommand),
     /// The core tells an exchange.
-    Far(OfficeId, CallId, Far),
+    Far(ExchangeId, CallId, ExchangeCommand),
     /// A datagram has come in.
     Datagram(SocketAddr, Vec<u8>),
     /// Somebody has connected.
--- a/src/sip/agent.rs
+++ b/src/sip/agent.rs
@@ -9,7 +9,7 @@
 use super::message::{Message, Start};
 use super::transaction::{self, Failure, Key, Out, Transactions, LONG, T1, T2};
 use super::{cause, verdict};
-use crate::calls::{Far, Front, Input, Near, Reject, Request, SetUp};
+use crate::calls::{CallEvent, CallerCommand, ExchangeCommand, Front, RejectReason, Request, SetUp};
 use crate::interface::*;
 
 const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exchange {
     /// Its id.
-    pub office: OfficeId,
+    pub office: ExchangeId,
     /// Its number.
-    pub number: ExchangeNo,
+    pub number: ExchangeNumber,
     /// Numbers called that begin like this lead there.
     pub prefixes: Vec<String>,
     /// Where it listens.
@@ -42,12 +42,12 @@
 
 impl Exchange {
     /// Its line of the list.
-    pub fn line(&self) -> Office {
-        Office {
+    pub fn line(&self) -> RosterEntry {
+        RosterEntry {
             id: self.office,
             zone: String::new(),
             number: self.number,
-            condition: Condition::On,
+            state: ServiceState::InService,
             weight: 1.0,
             ready_at: None,
         }
@@ -86,7 +86,7 @@
     /// A timer is wanted.
     Wake(Time, Alarm),
     /// Something for the core.
-    Core(Input),
+    Core(CallEvent),
 }
 
 /// The caller's side of a call.
@@ -108,7 +108,7 @@
 /// The exchange's side of one attempt.
 #[derive(Debug)]
 struct FarLeg {
-    office: OfficeId,
+    office: ExchangeId,
     key: Option<Key>,
     width: u32,
     dialog: Option<Dialog>,
@@ -130,7 +130,7 @@
     far: BTreeMap<Attempt, FarLeg>,
     by_client: BTreeMap<Key, Attempt>,
     far_dialogs: BTreeMap<Id, Attempt>,
-    used: BTreeMap<OfficeId, u32>,
+    used: BTreeMap<ExchangeId, u32>,
     /// What the transactions said while an event is handled.
     said: Vec<Out>,
 }
@@ -156,7 +156,7 @@
     /// Its exchanges as lines of the list, and the state of their groups.
     pub fn start(&self, out: &mut Vec<Output>) {
         let offices = self.setup.exchanges.iter().map(Exchange::line).collect();
-        out.push(Output::Core(Input::List { whole: false, offices }));
+        out.push(Output::Core(CallEvent::Roster { full: false, entries: offices }));
         for exchange in &self.setup.exchanges {
             self.state(exchange.office, out);
         }
@@ -308,7 +308,7 @@
                 };
                 self.by_key.insert(key, id.clone());
                 self.near.insert(id, leg);
-                out.push(Output::Core(Input::Request(request)));
+                out.push(Output::Core(CallEvent::Request(request)));
             }
             Err((status, reason)) => {
                 self.respond(now, &key, Message::response(status, reason, &message.headers), out);
@@ -349,8 +349,8 @@
             ttl,
             transit: false,
             hop: None,
-            came_back: false,
-            resent: message.get("X-Resent").is_some_and(|v| v.trim() == "1"),
+            re_established: false,
+            redial: message.get("X-Resent").is_some_and(|v| v.trim() == "1"),
             width: known.map_or(1, |c| c.width),
             dest,
             number: called.user.to_owned(),
@@ -372,7 +372,7 @@
                     tagged(Message::response(487, "Request Terminated", &leg.invite.headers), &leg.tag);
                 self.respond(now, &invite, gone, out);
             }
-            out.push(Output::Core(Input::GaveUp(id)));
+            out.push(Output::Core(CallEvent::CallerGaveUp(id)));
         }
     }
 
@@ -380,13 +380,18 @@
         let id = Id::of_request(message);
         let (status, reason) = if let Some(call) = self.near_dialogs.remove(&id) {
             self.forget_near(&call);
-            out.push(Output::Core(Input::Hangup(call)));
+            out.push(Output::Core(CallEvent::CallerReleased(call)));
             (200, "OK")
         } else if let Some((call, leg)) = self.far_dialogs.remove(&id) {
             let whole = cause(message).is_none_or(|cause| cause == 16);
             if let Some(office) = self.forget_far(&(call.clone(), leg), out) {
-                let report = Report::default();
-                out.push(Output::Core(Input::Released { id: call, office, whole, report }));
+                let report = LoadReport::default();
+                out.push(Output::Core(CallEvent::ExchangeReleased {
+                    id: call,
+                    exchange: office,
+                    completed: whole,
+                    report,
+                }));
             }
             (200, "OK")
         } else {
@@ -412,7 +417,7 @@
         if now - leg.since >= LONG {
             let cause = leg.release.take();
             if cause.is_none() {
-                out.push(Output::Core(Input::Hangup(id.clone())));
+                out.push(Output::Core(CallEvent::CallerReleased(id.clone())));
             }
             return self.release_near(now, &id, cause.unwrap_or(16), out);
         }
@@ -450,12 +455,12 @@
     }
 
     /// The core answers a caller.
-    pub fn near(&mut self, now: Time, id: CallId, near: Near, out: &mut Vec<Output>) {
+    pub fn near(&mut self, now: Time, id: CallId, near: CallerCommand, out: &mut Vec<Output>) {
         let Some(leg) = self.near.get_mut(&id) else { return };
         let respond =
             |status, reason| tagged(Message::response(status, reason, &leg.invite.headers), &leg.tag);
         let answer = match near {
-            Near::Answer(description) => {
+            CallerCommand::Answer(description) => {
                 let transport = leg.hop.transport;
                 let mut success = respond(200, "OK");
                 let routes =
@@ -463,7 +468,7 @@
                 success.headers.extend(routes.cloned());
                 return self.stands(now, id, success, transport, &description, out);
             }
-            Near::Release { whole } => {
+            CallerCommand::Release { completed: whole } => {
                 let cause = if whole { 16 } else { 41 };
                 if leg.success.is_some() && !leg.acked {
                     leg.release = Some(cause);
@@ -471,15 +476,15 @@
                 }
                 return self.release_near(now, &id, cause, out);
             }
-            Near::Refuse(None) => respond(480, "Temporarily Unavailable"),
-            Near::Refuse(Some(wait)) => respond(480, "Temporarily Unavailable")
+            CallerCommand::Refuse(None) => respond(480, "Temporarily Unavailable"),
+            CallerCommand::Refuse(Some(wait)) => respond(480, "Temporarily Unavailable")
                 .with("Retry-After", wait.max(0.0).ceil())
                 .with("X-Cooldown", (wait.max(0.0) * 1000.0).round()),
-            Near::Fail => respond(500, "Server Internal Error"),
-            Near::Reject(Reject::Class) => respond(488, "Not Acceptable Here"),
-            Near::Reject(Reject::Tenant) => respond(403, "Forbidden"),
-            Near::Reject(Reject::Destination) => respond(404, "Not Found"),
-            Near::Reject(Reject::Figure) => respond(400, "Bad Request"),
+            CallerCommand::Fail => respond(500, "Server Internal Error"),
+            CallerCommand::Reject(RejectReason::UnknownClass) => respond(488, "Not Acceptable Here"),
+            CallerCommand::Reject(RejectReason::UnknownTenant) => respond(403, "Forbidden"),
+            CallerCommand::Reject(RejectReason::UnknownDestination) => respond(404, "Not Found"),
+            CallerCommand::Reject(RejectReason::OutOfRange) => respond(400, "Bad Request"),
         };
         if let Some(leg) = self.forget_near(&id) {
             self.respond(now, &leg.key, answer, out);
@@ -513,16 +518,23 @@
     // ---- Exchanges -----------------------------------------------------------------------------
 
     /// The core tells an exchange.
-    pub fn far(&mut self, now: Time, office: OfficeId, id: CallId, far: Far, out: &mut Vec<Output>) {
+    pub fn far(
+        &mut self,
+        now: Time,
+        office: ExchangeId,
+        id: CallId,
+        far: ExchangeCommand,
+        out: &mut Vec<Output>,
+    ) {
         match far {
-            Far::SetUp(set_up) => self.set_up(now, office, id, set_up, out),
-            Far::GiveUp { leg } => {
+            ExchangeCommand::SetUp(set_up) => self.set_up(now, office, id, set_up, out),
+            ExchangeCommand::CancelSetUp { leg } => {
                 let key = self.far.get(&(id, leg)).and_then(|leg| leg.key.clone());
                 if let Some(key) = key {
                     self.with(out, |transactions, said| transactions.call_off(now, &key, said));
                 }
             }
-            Far::Release { leg } => {
+            ExchangeCommand::Release { leg } => {
                 let attempt = (id, leg.unwrap_or(0));
                 let dialog = self.far.get(&attempt).and_then(|leg| leg.dialog.clone());
                 self.forget_far(&attempt, out);
@@ -533,12 +545,12 @@
         }
     }
 
-    fn set_up(&mut self, now: Time, office: OfficeId, id: CallId, set_up: SetUp, out: &mut Vec<Output>) {
+    fn set_up(&mut self, now: Time, office: ExchangeId, id: CallId, set_up: SetUp, out: &mut Vec<Output>) {
         let Some(hop) = self.setup.exchanges.iter().find(|e| e.office == office).map(|e| e.hop) else {
             return;
         };
         let (via, contact) = (self.via(hop.transport), self.contact(hop.transport));
-        let left = (set_up.until - now).max(0.0);
+        let left = (set_up.abandon_at - now).max(0.0);
         let to = format!("<sip:{}@{}>", set_up.number, hop.addr);
         let uri =
             format!("sip:{}@{};transport={}", set_up.number, hop.addr, hop.transport.name().to_lowercase());
@@ -569,16 +581,20 @@
     }
 
     /// The state of a trunk group, as the circuits that calls take here leave it.
-    fn state(&self, office: OfficeId, out: &mut Vec<Output>) {
+    fn state(&self, office: ExchangeId, out: &mut Vec<Output>) {
         let Some(exchange) = self.setup.exchanges.iter().find(|e| e.office == office) else { return };
         let used = self.used.get(&office).copied().unwrap_or(0);
         let free = f64::from(exchange.circuits.saturating_sub(used));
-        let report = Report { free: Some(free), size: Some(exchange.circuits.into()), ..Report::default() };
-        out.push(Output::Core(Input::Status { office, report }));
+        let report = LoadReport {
+            free_circuits: Some(free),
+            group_size: Some(exchange.circuits.into()),
+            ..LoadReport::default()
+        };
+        out.push(Output::Core(CallEvent::Status { exchange: office, report }));
     }
 
     /// Forgets an attempt and frees its circuits.
-    fn forget_far(&mut self, attempt: &Attempt, out: &mut Vec<Output>) -> Option<OfficeId> {
+    fn forget_far(&mut self, attempt: &Attempt, out: &mut Vec<Output>) -> Option<ExchangeId> {
         let leg = self.far.remove(attempt)?;
         if let Some(key) = &leg.key {
             self.by_client.remove(key);
@@ -614,13 +630,20 @@
                 let noted = message.get("X-Outcome");
                 let (outcome, why) = match status {
                     _ if noted.is_some() => verdict(status, noted),
-                    486 | 600 => (Outcome::Error, Why::LinesBusy),
-                    503 => (Outcome::Full, Why::ProcessorFull),
+                    486 | 600 => (Outcome::Error, Cause::LinesBusy),
+                    503 => (Outcome::Refused, Cause::ProcessorFull),
                     _ => verdict(status, None),
                 };
                 if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
-                    let (leg, report) = (Some(leg), Report::default());
-                    out.push(Output::Core(Input::Ended { id, office, leg, outcome, why, report }));
+                    let (leg, report) = (Some(leg), LoadReport::default());
+                    out.push(Output::Core(CallEvent::SetUpFailed {
+                        id,
+                        exchange: office,
+                        leg,
+                        outcome,
+                        cause: why,
+                        report,
+                    }));
                 }
             }
         }
@@ -661,7 +684,7 @@
         (leg.dialog, leg.ack) = (Some(dialog), Some(ack));
         let (office, description) = (leg.office, Arc::from(message.body));
         let (id, leg) = attempt;
-        out.push(Output::Core(Input::Answered { id, office, leg: Some(leg), description }));
+        out.push(Output::Core(CallEvent::Answered { id, exchange: office, leg: Some(leg), description }));
     }
 
     fn on_failed(&mut self, key: &Key, failure: Failure, out: &mut Vec<Output>) {
@@ -672,8 +695,15 @@
             Failure::Broken => Outcome::Reset,
         };
         if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
-            let (leg, why, report) = (Some(leg), Why::Unsaid, Report::default());
-            out.push(Output::Core(Input::Ended { id, office, leg, outcome, why, report }));
+            let (leg, why, report) = (Some(leg), Cause::Unspecified, LoadReport::default());
+            out.push(Output::Core(CallEvent::SetUpFailed {
+                id,
+                exchange: office,
+                leg,
+                outcome,
+                cause: why,
+                report,
+            }));
         }
     }
 }
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -7,26 +7,26 @@
 pub mod message;
 pub mod transaction;
 
-use crate::interface::{Outcome, Why};
+use crate::interface::{Cause, Outcome};
 use message::Message;
 
 /// What a refusal of an exchange means.
-pub(crate) fn verdict(status: u16, note: Option<&str>) -> (Outcome, Why) {
+pub(crate) fn verdict(status: u16, note: Option<&str>) -> (Outcome, Cause) {
     let outcome = match status {
-        503 => Outcome::Full,
-        480 => Outcome::Moot,
+        503 => Outcome::Refused,
+        480 => Outcome::NotSent,
         504 => Outcome::Reset,
         487 => Outcome::Cancelled,
         408 => Outcome::TimedOut,
         _ => Outcome::Error,
     };
     let why = match note.map(str::trim) {
-        Some("no_circuit") => Why::NoCircuit,
-        Some("turned_back") => Why::TurnedBack,
-        Some("far_overload") => Why::BeyondFull,
-        Some("overload") => Why::ProcessorFull,
-        Some("lines_busy") => Why::LinesBusy,
-        _ => Why::Unsaid,
+        Some("no_circuit") => Cause::NoCircuit,
+        Some("turned_back") => Cause::Crankback,
+        Some("far_overload") => Cause::FarProcessorFull,
+        Some("overload") => Cause::ProcessorFull,
+        Some("lines_busy") => Cause::LinesBusy,
+        _ => Cause::Unspecified,
     };
     (outcome, why)
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -292,46 +292,46 @@
 }
 
 /// A load report by the names of the wire.
-pub(crate) fn report(stats: &BTreeMap<String, f64>) -> Report {
+pub(crate) fn report(stats: &BTreeMap<String, f64>) -> LoadReport {
     let get = |key: &str| stats.get(key).copied().filter(|v| v.is_finite() && *v >= 0.0);
-    Report {
-        free: get("idle"),
-        size: get("circuits"),
-        active: get("active"),
-        waiting: get("waiting"),
-        busy: get("cpu"),
-        wait: get("avg_ms").map(|ms| ms / 1000.0),
-        rate: get("max_rate"),
-        hold_back: get("reduce"),
+    LoadReport {
+        free_circuits: get("idle"),
+        group_size: get("circuits"),
+        active_messages: get("active"),
+        queued_messages: get("waiting"),
+        utilization: get("cpu"),
+        queueing_delay: get("avg_ms").map(|ms| ms / 1000.0),
+        set_up_rate: get("max_rate"),
+        requested_reduction: get("reduce"),
     }
 }
 
 fn outcome(verdict: i64) -> Result<Outcome, WireError> {
     Ok(match verdict {
-        0 => Outcome::Ended,
+        0 => Outcome::Completed,
         5 => Outcome::Error,
-        11 => Outcome::Full,
+        11 => Outcome::Refused,
         110 => Outcome::TimedOut,
         111 => Outcome::ConnectFailed,
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
-        114 => Outcome::Moot,
+        114 => Outcome::NotSent,
         other => return Err(WireError::Value { name: "answer", what: "verdict", value: other.to_string() }),
     })
 }
 
 /// Notes 1 to 4 with 16 x the wait in milliseconds on note 3; 18 is note 2 with its own mark.
-fn why(note: u64, says_wait: bool) -> (Why, Option<Secs>) {
+fn why(note: u64, says_wait: bool) -> (Cause, Option<Secs>) {
     if note == 18 {
-        return (Why::BeyondFull, None);
+        return (Cause::FarProcessorFull, None);
     }
     let wait = (says_wait && note >= 16).then(|| (note / 16) as f64 / 1000.0);
     match note % 16 {
-        1 => (Why::NoCircuit, None),
-        2 => (Why::TurnedBack, None),
-        3 => (Why::ProcessorFull, wait),
-        4 => (Why::LinesBusy, None),
-        _ => (Why::Unsaid, None),
+        1 => (Cause::NoCircuit, None),
+        2 => (Cause::Crankback, None),
+        3 => (Cause::ProcessorFull, wait),
+        4 => (Cause::LinesBusy, None),
+        _ => (Cause::Unspecified, None),
     }
 }
 
@@ -339,67 +339,78 @@
     let extra = &facts.extra;
     let class = |(ix, c): (usize, &ClassW)| Class {
         name: c.name.clone(),
-        aim: c.target,
-        give_up: c.give_up,
-        effect: match (c.semantics.as_str(), c.key_scope.as_str()) {
-            ("guarded", "all") => Effect::Guarded(Scope::All),
-            ("guarded", "zone") => Effect::Guarded(Scope::Zone),
-            ("guarded", _) => Effect::Guarded(Scope::Cell),
-            ("single_shot", _) => Effect::SingleShot,
-            _ => Effect::Free,
+        target: c.target,
+        give_up_after: c.give_up,
+        repeat_semantics: match (c.semantics.as_str(), c.key_scope.as_str()) {
+            ("guarded", "all") => RepeatSemantics::Deduplicated(DuplicateScope::All),
+            ("guarded", "zone") => RepeatSemantics::Deduplicated(DuplicateScope::Zone),
+            ("guarded", _) => RepeatSemantics::Deduplicated(DuplicateScope::Number),
+            ("single_shot", _) => RepeatSemantics::AtMostOnce,
+            _ => RepeatSemantics::Idempotent,
         },
-        window: c.window,
+        duplicate_window: c.window,
         worth: c.worth,
-        late_value: c.late_value,
+        late_worth_share: c.late_value,
         width: extra.class_width.get(ix).copied().unwrap_or(1),
-        mean_hold: extra.mean_hold.get(ix).copied().unwrap_or(0.0),
-        pools: extra.allowed_pools.get(ix).into_iter().flatten().flatten().map(|n| ExchangeNo(*n)).collect(),
+        mean_holding_time: extra.mean_hold.get(ix).copied().unwrap_or(0.0),
+        pools: extra
+            .allowed_pools
+            .get(ix)
+            .into_iter()
+            .flatten()
+            .flatten()
+            .map(|n| ExchangeNumber(*n))
+            .collect(),
     };
     Settings {
         classes: facts.classes.iter().enumerate().map(class).collect(),
-        instances: facts.n_instances,
-        own: extra.self_no.filter(|n| *n >= 0).map(ExchangeNo),
-        form: if extra.network_form == "skills" { Form::Skills } else { Form::Network },
+        proxies: facts.n_instances,
+        own_exchange: extra.self_no.filter(|n| *n >= 0).map(ExchangeNumber),
+        service_kind: if extra.network_form == "skills" {
+            ServiceKind::AgentPools
+        } else {
+            ServiceKind::Network
+        },
         discovery: if facts.discovery == "on_request" { Discovery::OnRequest } else { Discovery::Pushed },
-        telemetry: match facts.telemetry.how.as_str() {
-            "piggyback" => Telemetry::Piggyback,
-            "pull" => Telemetry::Pull,
-            _ => Telemetry::Silent,
+        load_reporting: match facts.telemetry.how.as_str() {
+            "piggyback" => LoadReporting::Piggybacked,
+            "pull" => LoadReporting::ProbesOnly,
+            _ => LoadReporting::Never,
         },
-        release: extra.release,
-        retransmit: extra.retransmit,
-        says_wait: extra.says_wait,
-        advised: extra.centre_advises,
-        cancel: facts.limits.cancel,
-        probing: facts.limits.probing,
-        peers: facts.limits.peers,
-        cool_down: facts.limits.retry_after,
+        release_pause: extra.release,
+        retransmit_after: extra.retransmit,
+        retry_after_provided: extra.says_wait,
+        centre_advises: extra.centre_advises,
+        cancel_allowed: facts.limits.cancel,
+        probing_allowed: facts.limits.probing,
+        peer_messages_allowed: facts.limits.peers,
+        cool_down_allowed: facts.limits.retry_after,
         max_cool_down: facts.limits.max_retry_after,
         max_attempts: facts.limits.max_attempts,
         answer_slack: facts.rules.answer_slack,
-        ask_every: facts.rules.ask_every,
+        poll_interval: facts.rules.ask_every,
         drain_grace: facts.rules.drain_grace,
-        cold_from: facts.rules.cold_from,
-        warm_within: facts.rules.warm_within,
-        fall_multiple: facts.rules.fall_multiple,
-        fall: facts.rules.fall,
-        probe_price: facts.prices.probe,
+        cold_share: facts.rules.cold_from,
+        warm_up_time: facts.rules.warm_within,
+        collapse_multiple: facts.rules.fall_multiple,
+        collapse_time: facts.rules.fall,
+        probe_cost: facts.prices.probe,
         tick: facts.tick,
     }
 }
 
-fn office(entry: EntryW) -> Result<Office, WireError> {
+fn office(entry: EntryW) -> Result<RosterEntry, WireError> {
     let condition = match entry.condition.as_str() {
-        "on" => Condition::On,
-        "fading" => Condition::Draining,
-        "off" => Condition::Off,
+        "on" => ServiceState::InService,
+        "fading" => ServiceState::Draining,
+        "off" => ServiceState::Removed,
         _ => return Err(WireError::Value { name: "manifest", what: "condition", value: entry.condition }),
     };
-    Ok(Office {
-        id: OfficeId(entry.office),
+    Ok(RosterEntry {
+        id: ExchangeId(entry.office),
         zone: entry.az,
-        number: ExchangeNo(entry.number),
-        condition,
+        number: ExchangeNumber(entry.number),
+        state: condition,
         weight: entry.weight,
         ready_at: (entry.ready_at > 0.0).then_some(Time(entry.ready_at)),
     })
@@ -407,7 +418,7 @@
 
 fn action_line(server: u64, action: &Action) -> Value {
     match action {
-        Action::Attempt { id, office, abandon_at } => json!({"attempt":
+        Action::Attempt { id, exchange: office, abandon_at } => json!({"attempt":
             {"server": server, "request_id": id.0, "office": office.0, "abandon_at": abandon_at.0}}),
         Action::Refuse { id, cool_down, .. } => json!({"say_no":
             {"server": server, "request_id": id.0, "cool_down": cool_down}}),
@@ -417,12 +428,12 @@
         Action::Timer { after, token } => json!({"wake_at":
             {"server": server, "sleep_for": after, "ref": token.0}}),
         Action::Probe(office) => json!({"sample": {"server": server, "office": office.0}}),
-        Action::Tell { to, text } => {
+        Action::PeerMessage { to, text } => {
             let peer = to.map_or(json!("*"), |n| json!(n));
             json!({"memo_to": {"server": server, "peer": peer, "payload": text}})
         }
         Action::Subscribe => json!({"subscribe": {"server": server, "on": true}}),
-        Action::Pull => json!({"pull": {"server": server}}),
+        Action::FetchRoster => json!({"pull": {"server": server}}),
         Action::Log(text) => json!({"trace": {"server": server, "body_text": text}}),
     }
 }
@@ -438,7 +449,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    manifests: BTreeMap<u64, Vec<Office>>,
+    manifests: BTreeMap<u64, Vec<RosterEntry>>,
     batch: Option<(Time, u64)>,
     actions: Vec<Action>,
 }
@@ -494,7 +505,7 @@
                 let create: CreateW = fields(name, body)?;
                 let classes = create.facts.classes.iter().map(|c| c.name.clone()).collect();
                 let settings = settings(create.facts);
-                let says_wait = settings.says_wait;
+                let says_wait = settings.retry_after_provided;
                 let mut controller = Controller::new(settings, create.seed);
                 controller.start(now, &mut self.actions);
                 self.instances.insert(server, Instance { controller, classes, says_wait });
@@ -521,20 +532,22 @@
     name: &str,
     body: &Value,
     instance: &Instance,
-    manifests: &BTreeMap<u64, Vec<Office>>,
+    manifests: &BTreeMap<u64, Vec<RosterEntry>>,
 ) -> Result<Event, WireError> {
     Ok(match name {
         "announce" => {
             let announce: AnnounceW = fields(name, body)?;
             let kind = match announce.kind.as_str() {
-                "INCREMENTAL" => ListKind::Changes,
-                "FULL" => ListKind::Full,
-                "SAVED" => ListKind::Saved,
-                "FAILED" => return Ok(Event::List { kind: ListKind::Failed, offices: Vec::new() }),
+                "INCREMENTAL" => RosterKind::Incremental,
+                "FULL" => RosterKind::Full,
+                "SAVED" => RosterKind::Saved,
+                "FAILED" => {
+                    return Ok(Event::Roster { kind: RosterKind::RequestFailed, entries: Vec::new() })
+                }
                 _ => return Err(WireError::Value { name: "announce", what: "kind", value: announce.kind }),
             };
             let offices = manifests.get(&announce.slot).ok_or(WireError::Slot(announce.slot))?.clone();
-            Event::List { kind, offices }
+            Event::Roster { kind, entries: offices }
         }
         "arrival" => {
             let a: ArrivalW = fields(name, body)?;
@@ -545,51 +558,51 @@
                 id: CallId(a.request_id),
                 ttl: a.ttl,
                 transit: a.midflow,
-                hop: a.hop.filter(|n| *n >= 0).map(ExchangeNo),
-                came_back: a.came_back,
+                hop: a.hop.filter(|n| *n >= 0).map(ExchangeNumber),
+                re_established: a.came_back,
                 width: a.circuits.unwrap_or(1),
-                resent: a.resent,
-                dest: ExchangeNo(a.far_end),
-                class: ClassIx(class),
+                redial: a.resent,
+                dest: ExchangeNumber(a.far_end),
+                class: ClassIndex(class),
                 number: a.item,
             })
         }
         "answer" => {
             let a: AnswerW = fields(name, body)?;
             let (why, named_wait) = why(a.why, instance.says_wait);
-            Event::Answer(Answer {
+            Event::AttemptEnded(AttemptResult {
                 id: CallId(a.request_id),
                 leg: a.leg,
-                office: OfficeId(a.office),
+                exchange: ExchangeId(a.office),
                 outcome: outcome(a.verdict)?,
-                took: a.cost_time,
-                why,
-                named_wait,
-                closed: a.closed,
+                elapsed: a.cost_time,
+                cause: why,
+                retry_after: named_wait,
+                concluded: a.closed,
                 report: report(&a.server_stats),
             })
         }
         "first" => {
             let f: FirstW = fields(name, body)?;
-            Event::Stands {
+            Event::Established {
                 id: CallId(f.request_id),
                 leg: f.leg,
-                office: OfficeId(f.office),
-                took: f.cost_time,
+                exchange: ExchangeId(f.office),
+                elapsed: f.cost_time,
             }
         }
         "withdrawn" => Event::Withdrawn(CallId(fields::<WithdrawnW>(name, body)?.request_id)),
-        "ring" => Event::Timer(Token(fields::<RingW>(name, body)?.token)),
+        "ring" => Event::Timer(TimerToken(fields::<RingW>(name, body)?.token)),
         "note_from" => {
             let note: NoteW = fields(name, body)?;
-            Event::Told { from: note.who, text: note.payload }
+            Event::PeerMessage { from: note.who, text: note.payload }
         }
         "status_back" => {
             let s: StatusW = fields(name, body)?;
             Event::Status {
-                office: OfficeId(s.office),
+                exchange: ExchangeId(s.office),
                 ok: s.verdict == 0,
-                took: s.cost_time,
+                elapsed: s.cost_time,
                 report: report(&s.server_stats),
             }
         }
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -5,7 +5,9 @@
 
 use common::{office, settings};
 use mallowring::calls::tenants::{Change, Tenant, Tenants};
-use mallowring::calls::{Command, Far, Front, Input, Near, Reject, Request, Table, Wake};
+use mallowring::calls::{
+    CallEffect, CallEvent, CallTimer, CallerCommand, ExchangeCommand, Front, RejectReason, Request, Table,
+};
 use mallowring::interface::*;
 
 struct Core {
@@ -22,17 +24,18 @@
             table: Table::new(Settings { max_attempts: 4, ..settings() }, tenants, 7, Time(1000.0)),
             now: 1000.0,
         };
-        core.put(Input::List { whole: true, offices: (0..5).map(office).collect() });
+        core.put(CallEvent::Roster { full: true, entries: (0..5).map(office).collect() });
         assert!(!core.table.informed(), "no state is in");
-        let report = Report { free: Some(30.0), size: Some(30.0), ..Report::default() };
+        let report =
+            LoadReport { free_circuits: Some(30.0), group_size: Some(30.0), ..LoadReport::default() };
         for number in 1..5 {
-            core.put(Input::Status { office: office(number).id, report });
+            core.put(CallEvent::Status { exchange: office(number).id, report });
         }
         assert!(core.table.informed());
         core
     }
 
-    fn put(&mut self, input: Input) -> Vec<Command> {
+    fn put(&mut self, input: CallEvent) -> Vec<CallEffect> {
         let mut out = Vec::new();
         self.table.handle(Time(self.now), input, &mut out);
         out
@@ -47,10 +50,10 @@
             ttl: 3.0,
             transit: false,
             hop: None,
-            came_back: false,
-            resent: false,
+            re_established: false,
+            redial: false,
             width: 1,
-            dest: ExchangeNo(3),
+            dest: ExchangeNumber(3),
             number: "n-1".into(),
             description: Arc::from(&b"offer"[..]),
         }
@@ -58,7 +61,7 @@
 
     /// A call that is out to exchange 3.
     fn call(&mut self, id: &str) -> CallId {
-        let out = self.put(Input::Request(self.request(id)));
+        let out = self.put(CallEvent::Request(self.request(id)));
         assert_eq!(set_ups(&out), 1, "{out:?}");
         CallId(id.into())
     }
@@ -66,43 +69,57 @@
     fn standing(&mut self, id: &str) -> CallId {
         let id = self.call(id);
         let answer = Arc::from(&b"answer\0\xff"[..]);
-        let input =
-            Input::Answered { id: id.clone(), office: OfficeId(103), leg: Some(0), description: answer };
+        let input = CallEvent::Answered {
+            id: id.clone(),
+            exchange: ExchangeId(103),
+            leg: Some(0),
+            description: answer,
+        };
         let out = self.put(input);
-        assert!(matches!(&nears(&out)[..], [Near::Answer(d)] if d[..] == b"answer\0\xff"[..]), "{out:?}");
+        assert!(
+            matches!(&nears(&out)[..], [CallerCommand::Answer(d)] if d[..] == b"answer\0\xff"[..]),
+            "{out:?}"
+        );
         id
     }
 
-    fn ended(&mut self, id: &CallId, leg: u32, outcome: Outcome) -> Vec<Command> {
-        let (office, why, report) = (OfficeId(103), Why::Unsaid, Report::default());
-        self.put(Input::Ended { id: id.clone(), office, leg: Some(leg), outcome, why, report })
+    fn ended(&mut self, id: &CallId, leg: u32, outcome: Outcome) -> Vec<CallEffect> {
+        let (office, why, report) = (ExchangeId(103), Cause::Unspecified, LoadReport::default());
+        self.put(CallEvent::SetUpFailed {
+            id: id.clone(),
+            exchange: office,
+            leg: Some(leg),
+            outcome,
+            cause: why,
+            report,
+        })
     }
 }
 
-fn nears(out: &[Command]) -> Vec<Near> {
-    let near = |c: &Command| match c {
-        Command::Near(_, _, near) => Some(near.clone()),
+fn nears(out: &[CallEffect]) -> Vec<CallerCommand> {
+    let near = |c: &CallEffect| match c {
+        CallEffect::Caller(_, _, near) => Some(near.clone()),
         _ => None,
     };
     out.iter().filter_map(near).collect()
 }
 
-fn fars(out: &[Command]) -> Vec<Far> {
-    let far = |c: &Command| match c {
-        Command::Far(_, _, far) => Some(far.clone()),
+fn fars(out: &[CallEffect]) -> Vec<ExchangeCommand> {
+    let far = |c: &CallEffect| match c {
+        CallEffect::Exchange(_, _, far) => Some(far.clone()),
         _ => None,
     };
     out.iter().filter_map(far).collect()
 }
 
-fn set_ups(out: &[Command]) -> usize {
-    fars(out).iter().filter(|f| matches!(f, Far::SetUp(_))).count()
+fn set_ups(out: &[CallEffect]) -> usize {
+    fars(out).iter().filter(|f| matches!(f, ExchangeCommand::SetUp(_))).count()
 }
 
 /// The latest thing that a command asks to be woken for.
-fn wakes(out: &[Command]) -> Vec<(f64, Wake)> {
-    let wake = |c: &Command| match c {
-        Command::Wake(at, wake) => Some((at.0, wake.clone())),
+fn wakes(out: &[CallEffect]) -> Vec<(f64, CallTimer)> {
+    let wake = |c: &CallEffect| match c {
+        CallEffect::StartTimer(at, wake) => Some((at.0, wake.clone())),
         _ => None,
     };
     out.iter().filter_map(wake).collect()
@@ -113,8 +130,13 @@
     let mut core = Core::new();
     let id = core.standing("a");
     assert_eq!((core.table.open(), core.table.standing()), (0, 1));
-    let release = Input::Released { id, office: OfficeId(103), whole: true, report: Report::default() };
-    assert_eq!(nears(&core.put(release.clone())), [Near::Release { whole: true }]);
+    let release = CallEvent::ExchangeReleased {
+        id,
+        exchange: ExchangeId(103),
+        completed: true,
+        report: LoadReport::default(),
+    };
+    assert_eq!(nears(&core.put(release.clone())), [CallerCommand::Release { completed: true }]);
     // An exchange sends its release on the next connection as well: the caller must not get a second one.
     assert!(core.put(release).is_empty());
     assert_eq!(core.table.standing(), 0);
@@ -125,12 +147,12 @@
     let mut core = Core::new();
     let fine = core.request("x");
     let cases = [
-        (Request { class: "none".into(), ..fine.clone() }, Reject::Class),
-        (Request { tenant: Some("stranger".into()), ..fine.clone() }, Reject::Tenant),
-        (Request { dest: ExchangeNo(77), ..fine }, Reject::Destination),
+        (Request { class: "none".into(), ..fine.clone() }, RejectReason::UnknownClass),
+        (Request { tenant: Some("stranger".into()), ..fine.clone() }, RejectReason::UnknownTenant),
+        (Request { dest: ExchangeNumber(77), ..fine }, RejectReason::UnknownDestination),
     ];
     for (request, reject) in cases {
-        assert_eq!(nears(&core.put(Input::Request(request))), [Near::Reject(reject)]);
+        assert_eq!(nears(&core.put(CallEvent::Request(request))), [CallerCommand::Reject(reject)]);
     }
     assert_eq!(core.table.open(), 0);
 }
@@ -147,7 +169,7 @@
         let (at, wake) = wakes(&out).pop().expect("the module asks to be woken");
         assert!(at >= core.now + 0.3, "{outcome:?}");
         core.now = at;
-        let out = core.put(Input::Woken(wake));
+        let out = core.put(CallEvent::TimerExpired(wake));
         assert_eq!(set_ups(&out) + nears(&out).len(), 1, "{outcome:?}: {out:?}");
     }
 }
@@ -158,15 +180,18 @@
 fn an_answer_that_crosses_a_cancel_is_released_at_the_exchange() {
     let mut core = Core::new();
     let id = core.call("a");
-    assert_eq!(fars(&core.put(Input::GaveUp(id.clone()))), [Far::GiveUp { leg: 0 }]);
-    let (office, description) = (OfficeId(103), Arc::from(&b""[..]));
-    let out = core.put(Input::Answered { id, office, leg: Some(0), description });
-    assert_eq!((fars(&out), nears(&out)), (vec![Far::Release { leg: Some(0) }], vec![]));
+    assert_eq!(
+        fars(&core.put(CallEvent::CallerGaveUp(id.clone()))),
+        [ExchangeCommand::CancelSetUp { leg: 0 }]
+    );
+    let (office, description) = (ExchangeId(103), Arc::from(&b""[..]));
+    let out = core.put(CallEvent::Answered { id, exchange: office, leg: Some(0), description });
+    assert_eq!((fars(&out), nears(&out)), (vec![ExchangeCommand::Release { leg: Some(0) }], vec![]));
     // The other way round: the caller's giving up crosses the answer that it already got.
     let id = core.standing("b");
-    let out = core.put(Input::GaveUp(id));
-    assert_eq!(fars(&out), [Far::Release { leg: Some(0) }]);
-    assert_eq!(nears(&out), [Near::Release { whole: false }]);
+    let out = core.put(CallEvent::CallerGaveUp(id));
+    assert_eq!(fars(&out), [ExchangeCommand::Release { leg: Some(0) }]);
+    assert_eq!(nears(&out), [CallerCommand::Release { completed: false }]);
 }
 
 /// Guards rule one: whatever the module does, a caller has its final answer before it stops waiting. The module
@@ -176,18 +201,18 @@
     let mut core = Core::new();
     let mut request = core.request("a");
     request.ttl = 0.5;
-    let out = core.put(Input::Request(request));
+    let out = core.put(CallEvent::Request(request));
     let (at, wake) =
-        wakes(&out).into_iter().find(|(_, w)| matches!(w, Wake::Deadline(_))).expect("a deadline");
+        wakes(&out).into_iter().find(|(_, w)| matches!(w, CallTimer::Deadline(_))).expect("a deadline");
     assert!(at < core.now + 0.5);
     core.now = at;
-    let out = core.put(Input::Woken(wake));
-    assert_eq!(fars(&out), [Far::GiveUp { leg: 0 }]);
-    assert!(matches!(nears(&out)[..], [Near::Refuse(Some(_))]), "{out:?}");
+    let out = core.put(CallEvent::TimerExpired(wake));
+    assert_eq!(fars(&out), [ExchangeCommand::CancelSetUp { leg: 0 }]);
+    assert!(matches!(nears(&out)[..], [CallerCommand::Refuse(Some(_))]), "{out:?}");
     assert_eq!(core.table.open(), 0);
     // One trial call at a time goes to a silent exchange.
     core.call("trial");
-    let out = core.put(Input::Request(core.request("second")));
+    let out = core.put(CallEvent::Request(core.request("second")));
     assert_eq!((set_ups(&out), nears(&out).len()), (0, 1));
 }
 
@@ -197,19 +222,19 @@
     let mut core = Core::new();
     core.standing("stands");
     let out = core.call("out");
-    let cut = core.put(Input::Died(OfficeId(103)));
-    assert_eq!(nears(&cut), [Near::Release { whole: false }]);
+    let cut = core.put(CallEvent::ExchangeDown(ExchangeId(103)));
+    assert_eq!(nears(&cut), [CallerCommand::Release { completed: false }]);
     assert_eq!((core.table.open(), core.table.standing()), (1, 0));
-    assert!(core.ended(&out, 0, Outcome::Full).is_empty(), "that attempt is over");
+    assert!(core.ended(&out, 0, Outcome::Refused).is_empty(), "that attempt is over");
     // A restart told late must not cut what was set up since.
     let mut core = Core::new();
     core.standing("old");
     let started = Time(core.now + 1.0);
     core.now += 2.0;
     core.standing("new");
-    let line = Office { ready_at: Some(started), ..office(3) };
-    let out = core.put(Input::List { whole: false, offices: vec![line] });
-    assert_eq!(nears(&out), [Near::Release { whole: false }]);
+    let line = RosterEntry { ready_at: Some(started), ..office(3) };
+    let out = core.put(CallEvent::Roster { full: false, entries: vec![line] });
+    assert_eq!(nears(&out), [CallerCommand::Release { completed: false }]);
     assert_eq!(core.table.standing(), 1);
 }
 
@@ -217,20 +242,27 @@
 #[test]
 fn attempts_are_never_two_at_once_and_four_at_most() {
     let mut core = Core::new();
-    let mut pending = core.put(Input::Request(core.request("a")));
+    let mut pending = core.put(CallEvent::Request(core.request("a")));
     let (mut sent, mut finals) = (0, 0);
     for _ in 0..20 {
         assert!(set_ups(&pending) <= 1);
         sent += set_ups(&pending);
         finals += nears(&pending).len();
         let to = pending.iter().find_map(|c| match c {
-            Command::Far(office, id, Far::SetUp(s)) => Some((*office, id.clone(), s.leg)),
+            CallEffect::Exchange(office, id, ExchangeCommand::SetUp(s)) => Some((*office, id.clone(), s.leg)),
             _ => None,
         });
         let Some((office, id, leg)) = to else { break };
         core.now += 0.01;
-        let (outcome, why, report) = (Outcome::Full, Why::NoCircuit, Report::default());
-        pending = core.put(Input::Ended { id, office, leg: Some(leg), outcome, why, report });
+        let (outcome, why, report) = (Outcome::Refused, Cause::NoCircuit, LoadReport::default());
+        pending = core.put(CallEvent::SetUpFailed {
+            id,
+            exchange: office,
+            leg: Some(leg),
+            outcome,
+            cause: why,
+            report,
+        });
     }
     assert!((1..=4).contains(&sent), "{sent}");
     assert_eq!(finals, 1);
@@ -247,12 +279,15 @@
     };
     set(&mut core, false, Some(1));
     let id = core.standing("a");
-    assert!(matches!(nears(&core.put(Input::Request(core.request("b"))))[..], [Near::Refuse(Some(_))]));
-    core.put(Input::Hangup(id));
+    assert!(matches!(
+        nears(&core.put(CallEvent::Request(core.request("b"))))[..],
+        [CallerCommand::Refuse(Some(_))]
+    ));
+    core.put(CallEvent::CallerReleased(id));
     core.call("c");
     set(&mut core, true, None);
-    let out = core.put(Input::Request(core.request("d")));
-    assert_eq!(nears(&out), [Near::Reject(Reject::Tenant)]);
+    let out = core.put(CallEvent::Request(core.request("d")));
+    assert_eq!(nears(&out), [CallerCommand::Reject(RejectReason::UnknownTenant)]);
     let (_, counts) = core.table.tenants().list().remove(0);
     assert_eq!(
         (counts.taken, counts.stood, counts.refused, counts.rejected, counts.present),
@@ -265,12 +300,12 @@
 fn exchanges_that_are_gone_are_forgotten() {
     let mut core = Core::new();
     for n in 0..1000 {
-        let fresh = Office { id: OfficeId(1000 + n), ..office(3) };
-        core.put(Input::List { whole: false, offices: vec![fresh.clone()] });
-        core.put(Input::Status { office: fresh.id, report: Report::default() });
-        let gone = Office { condition: Condition::Off, ..fresh };
-        core.put(Input::List { whole: false, offices: vec![gone.clone()] });
-        core.put(Input::Status { office: gone.id, report: Report::default() });
+        let fresh = RosterEntry { id: ExchangeId(1000 + n), ..office(3) };
+        core.put(CallEvent::Roster { full: false, entries: vec![fresh.clone()] });
+        core.put(CallEvent::Status { exchange: fresh.id, report: LoadReport::default() });
+        let gone = RosterEntry { state: ServiceState::Removed, ..fresh };
+        core.put(CallEvent::Roster { full: false, entries: vec![gone.clone()] });
+        core.put(CallEvent::Status { exchange: gone.id, report: LoadReport::default() });
     }
     assert_eq!(core.table.exchanges(), 5);
 }
@@ -283,18 +318,18 @@
     core.table.limit_bytes(40_000);
     let long =
         |core: &Core, id: &str| Request { description: Arc::from(vec![0; 14_000]), ..core.request(id) };
-    let first = core.put(Input::Request(long(&core, "a")));
-    let second = core.put(Input::Request(long(&core, "b")));
+    let first = core.put(CallEvent::Request(long(&core, "a")));
+    let second = core.put(CallEvent::Request(long(&core, "b")));
     assert!(nears(&first).is_empty() && nears(&second).is_empty(), "both are under way");
     let held = core.table.held_bytes();
-    let third = core.put(Input::Request(long(&core, "c")));
-    assert!(matches!(nears(&third)[..], [Near::Refuse(Some(_))]));
+    let third = core.put(CallEvent::Request(long(&core, "c")));
+    assert!(matches!(nears(&third)[..], [CallerCommand::Refuse(Some(_))]));
     assert_eq!(core.table.held_bytes(), held);
     let id = core.standing("d");
     assert!(core.table.held_bytes() < held + 5_000, "{held}, then {}", core.table.held_bytes());
-    core.put(Input::Hangup(id));
-    core.put(Input::GaveUp(CallId("a".into())));
-    core.put(Input::GaveUp(CallId("b".into())));
+    core.put(CallEvent::CallerReleased(id));
+    core.put(CallEvent::CallerGaveUp(CallId("a".into())));
+    core.put(CallEvent::CallerGaveUp(CallId("b".into())));
     assert_eq!(core.table.held_bytes(), 0);
 }
 
@@ -305,13 +340,13 @@
     core.standing("stands");
     core.call("waits");
     core.table.stop_admitting();
-    let out = core.put(Input::Request(core.request("new")));
-    assert!(matches!(nears(&out)[..], [Near::Refuse(Some(_))]));
+    let out = core.put(CallEvent::Request(core.request("new")));
+    assert!(matches!(nears(&out)[..], [CallerCommand::Refuse(Some(_))]));
     let mut out = Vec::new();
     core.table.refuse_open(&mut out);
-    assert!(matches!(nears(&out)[..], [Near::Refuse(Some(_))]));
+    assert!(matches!(nears(&out)[..], [CallerCommand::Refuse(Some(_))]));
     assert!(
-        out.iter().any(|c| matches!(c, Command::Far(_, _, Far::GiveUp { .. }))),
+        out.iter().any(|c| matches!(c, CallEffect::Exchange(_, _, ExchangeCommand::CancelSetUp { .. }))),
         "its set-up is called off"
     );
     assert_eq!((core.table.open(), core.table.standing()), (0, 1));
@@ -321,10 +356,15 @@
 #[test]
 fn a_group_whose_state_is_not_told_any_longer_is_tried() {
     let mut core = Core::new();
-    let full = Report { free: Some(0.0), size: Some(30.0), ..Report::default() };
-    (1..5).for_each(|n| drop(core.put(Input::Status { office: office(n).id, report: full })));
-    assert!(matches!(nears(&core.put(Input::Request(core.request("a"))))[..], [Near::Refuse(_)]));
-    core.put(Input::Unheard(office(3).id));
-    let out = core.put(Input::Request(core.request("b")));
-    assert!(out.iter().any(|c| matches!(c, Command::Far(to, _, Far::SetUp(_)) if *to == office(3).id)));
+    let full = LoadReport { free_circuits: Some(0.0), group_size: Some(30.0), ..LoadReport::default() };
+    (1..5).for_each(|n| drop(core.put(CallEvent::Status { exchange: office(n).id, report: full })));
+    assert!(matches!(
+        nears(&core.put(CallEvent::Request(core.request("a"))))[..],
+        [CallerCommand::Refuse(_)]
+    ));
+    core.put(CallEvent::StatusLost(office(3).id));
+    let out = core.put(CallEvent::Request(core.request("b")));
+    assert!(out
+        .iter()
+        .any(|c| matches!(c, CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)) if *to == office(3).id)));
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,14 +9,14 @@
 pub fn class(worth: f64, width: u32) -> Class {
     Class {
         name: format!("class-{worth}-{width}"),
-        aim: 1.2,
-        give_up: 9.0,
-        effect: Effect::Free,
-        window: 5.0,
+        target: 1.2,
+        give_up_after: 9.0,
+        repeat_semantics: RepeatSemantics::Idempotent,
+        duplicate_window: 5.0,
         worth,
-        late_value: 0.25,
+        late_worth_share: 0.25,
         width,
-        mean_hold: 10.0,
+        mean_holding_time: 10.0,
         pools: Vec::new(),
     }
 }
@@ -24,45 +24,45 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(1.0, 1), class(3.0, 4)],
-        instances: 4,
-        own: Some(ExchangeNo(OWN)),
-        form: Form::Network,
+        proxies: 4,
+        own_exchange: Some(ExchangeNumber(OWN)),
+        service_kind: ServiceKind::Network,
         discovery: Discovery::Pushed,
-        telemetry: Telemetry::Piggyback,
-        release: 0.3,
-        retransmit: 0.5,
-        says_wait: false,
-        advised: true,
-        cancel: true,
-        probing: false,
-        peers: false,
-        cool_down: true,
+        load_reporting: LoadReporting::Piggybacked,
+        release_pause: 0.3,
+        retransmit_after: 0.5,
+        retry_after_provided: false,
+        centre_advises: true,
+        cancel_allowed: true,
+        probing_allowed: false,
+        peer_messages_allowed: false,
+        cool_down_allowed: true,
         max_cool_down: 2.0,
         max_attempts: 6,
         answer_slack: 0.02,
-        ask_every: 10.0,
+        poll_interval: 10.0,
         drain_grace: 0.5,
-        cold_from: 0.3,
-        warm_within: 13.0,
-        fall_multiple: 2.5,
-        fall: 1.0,
-        probe_price: 0.004,
+        cold_share: 0.3,
+        warm_up_time: 13.0,
+        collapse_multiple: 2.5,
+        collapse_time: 1.0,
+        probe_cost: 0.004,
         tick: 0.005,
     }
 }
 
-pub fn office(number: i64) -> Office {
-    Office {
-        id: OfficeId(100 + number as u64),
+pub fn office(number: i64) -> RosterEntry {
+    RosterEntry {
+        id: ExchangeId(100 + number as u64),
         zone: "z".into(),
-        number: ExchangeNo(number),
-        condition: Condition::On,
+        number: ExchangeNumber(number),
+        state: ServiceState::InService,
         weight: 1.0,
         ready_at: None,
     }
 }
 
-pub fn id_of(number: i64) -> OfficeId {
+pub fn id_of(number: i64) -> ExchangeId {
     office(number).id
 }
 
@@ -81,7 +81,7 @@
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let mut bench = Bench { controller: Controller::new(settings, seed), now: 1000.0, calls: 0 };
         bench.controller.start(Time(bench.now), &mut Vec::new());
-        bench.event(Event::List { kind: ListKind::Saved, offices: (0..5).map(office).collect() });
+        bench.event(Event::Roster { kind: RosterKind::Saved, entries: (0..5).map(office).collect() });
         for number in 1..5 {
             bench.circuits(number, 30.0, 30.0);
         }
@@ -94,19 +94,20 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, offices: Vec<Office>) -> Vec<Action> {
-        self.event(Event::List { kind, offices })
+    pub fn list(&mut self, kind: RosterKind, offices: Vec<RosterEntry>) -> Vec<Action> {
+        self.event(Event::Roster { kind, entries: offices })
     }
 
     pub fn circuits(&mut self, number: i64, free: f64, size: f64) {
-        let report = Report { free: Some(free), size: Some(size), ..Report::default() };
-        self.event(Event::Status { office: id_of(number), ok: true, took: 0.0, report });
+        let report =
+            LoadReport { free_circuits: Some(free), group_size: Some(size), ..LoadReport::default() };
+        self.event(Event::Status { exchange: id_of(number), ok: true, elapsed: 0.0, report });
     }
 
     /// A report of the wait at a far processor, as a probe would bring it.
     pub fn wait(&mut self, number: i64, wait: f64) {
-        let report = Report { wait: Some(wait), ..Report::default() };
-        self.event(Event::Status { office: id_of(number), ok: true, took: 0.01, report });
+        let report = LoadReport { queueing_delay: Some(wait), ..LoadReport::default() };
+        self.event(Event::Status { exchange: id_of(number), ok: true, elapsed: 0.01, report });
     }
 
     pub fn arrival(&mut self, dest: i64) -> Arrival {
@@ -116,11 +117,11 @@
             ttl: 3.0,
             transit: false,
             hop: None,
-            came_back: false,
+            re_established: false,
             width: 1,
-            resent: false,
-            dest: ExchangeNo(dest),
-            class: ClassIx(0),
+            redial: false,
+            dest: ExchangeNumber(dest),
+            class: ClassIndex(0),
             number: None,
         }
     }
@@ -131,22 +132,29 @@
     }
 
     pub fn stands(&mut self, id: &CallId, leg: u32, number: i64, took: f64) -> Vec<Action> {
-        self.event(Event::Stands { id: id.clone(), leg, office: id_of(number), took })
+        self.event(Event::Established { id: id.clone(), leg, exchange: id_of(number), elapsed: took })
     }
 
-    pub fn answer(&mut self, id: &CallId, leg: u32, number: i64, outcome: Outcome, why: Why) -> Vec<Action> {
-        let answer = Answer {
+    pub fn answer(
+        &mut self,
+        id: &CallId,
+        leg: u32,
+        number: i64,
+        outcome: Outcome,
+        why: Cause,
+    ) -> Vec<Action> {
+        let answer = AttemptResult {
             id: id.clone(),
             leg,
-            office: id_of(number),
+            exchange: id_of(number),
             outcome,
-            took: 1.2,
-            why,
-            named_wait: None,
-            closed: false,
-            report: Report::default(),
+            elapsed: 1.2,
+            cause: why,
+            retry_after: None,
+            concluded: false,
+            report: LoadReport::default(),
         };
-        self.event(Event::Answer(answer))
+        self.event(Event::AttemptEnded(answer))
     }
 
     /// Fires the timer of `actions` when it is due.
@@ -174,9 +182,9 @@
     }
 }
 
-pub fn sent_to(actions: &[Action]) -> Option<OfficeId> {
+pub fn sent_to(actions: &[Action]) -> Option<ExchangeId> {
     actions.iter().find_map(|a| match a {
-        Action::Attempt { office, .. } => Some(*office),
+        Action::Attempt { exchange: office, .. } => Some(*office),
         _ => None,
     })
 }
--- a/tests/connection_budget.rs
+++ b/tests/connection_budget.rs
@@ -1,11 +1,11 @@
 //! The budget of connections to exchanges, on a scripted clock.
 
-use mallowring::interface::{OfficeId, Time};
+use mallowring::interface::{ExchangeId, Time};
 use mallowring::limits::connections::{ConnectionBudget, Grant, Purpose};
 
 fn budget(limit: usize, exchanges: u64) -> ConnectionBudget {
     let mut budget = ConnectionBudget::new(limit);
-    (0..exchanges).for_each(|id| budget.listed(Time(id as f64), OfficeId(id)));
+    (0..exchanges).for_each(|id| budget.listed(Time(id as f64), ExchangeId(id)));
     budget
 }
 
@@ -20,17 +20,21 @@
 fn an_idle_exchange_gives_way_to_one_in_need_and_a_busy_one_does_not() {
     let mut budget = budget(4, 6);
     for id in 0..3 {
-        assert_eq!(budget.ask(OfficeId(id), Purpose::Idle), Grant::Open);
+        assert_eq!(budget.ask(ExchangeId(id), Purpose::Idle), Grant::Open);
     }
-    assert_eq!(budget.ask(OfficeId(3), Purpose::Idle), Grant::No, "one is kept in reserve");
-    budget.in_use(Time(10.0), OfficeId(0), true);
-    budget.in_use(Time(11.0), OfficeId(1), false);
-    assert_eq!(budget.ask(OfficeId(3), Purpose::Needed), Grant::Open, "the reserve is for this");
+    assert_eq!(budget.ask(ExchangeId(3), Purpose::Idle), Grant::No, "one is kept in reserve");
+    budget.in_use(Time(10.0), ExchangeId(0), true);
+    budget.in_use(Time(11.0), ExchangeId(1), false);
+    assert_eq!(budget.ask(ExchangeId(3), Purpose::Needed), Grant::Open, "the reserve is for this");
     // 2 has never been used; 0 is in use.
-    assert_eq!(budget.ask(OfficeId(4), Purpose::Needed), Grant::After(OfficeId(2)));
-    assert_eq!(budget.ask(OfficeId(5), Purpose::Verify), Grant::After(OfficeId(3)), "one is not asked twice");
-    budget.ended(OfficeId(2));
-    assert_eq!(budget.ask(OfficeId(4), Purpose::Needed), Grant::Open);
+    assert_eq!(budget.ask(ExchangeId(4), Purpose::Needed), Grant::After(ExchangeId(2)));
+    assert_eq!(
+        budget.ask(ExchangeId(5), Purpose::Verify),
+        Grant::After(ExchangeId(3)),
+        "one is not asked twice"
+    );
+    budget.ended(ExchangeId(2));
+    assert_eq!(budget.ask(ExchangeId(4), Purpose::Needed), Grant::Open);
     assert_eq!(budget.held(), 4);
 }
 
@@ -38,16 +42,16 @@
 fn whoever_holds_more_than_one_gives_way_first() {
     let mut budget = budget(8, 2);
     for _ in 0..3 {
-        assert_eq!(budget.ask(OfficeId(0), Purpose::Another), Grant::Open);
+        assert_eq!(budget.ask(ExchangeId(0), Purpose::Another), Grant::Open);
     }
-    assert_eq!(budget.ask(OfficeId(0), Purpose::Another), Grant::No, "three at best");
-    (2..8).for_each(|id| budget.listed(Time(0.0), OfficeId(id)));
+    assert_eq!(budget.ask(ExchangeId(0), Purpose::Another), Grant::No, "three at best");
+    (2..8).for_each(|id| budget.listed(Time(0.0), ExchangeId(id)));
     for id in 1..5 {
-        assert_eq!(budget.ask(OfficeId(id), Purpose::Idle), Grant::Open);
+        assert_eq!(budget.ask(ExchangeId(id), Purpose::Idle), Grant::Open);
     }
-    assert_eq!(budget.ask(OfficeId(5), Purpose::Idle), Grant::After(OfficeId(0)), "the fleet has grown");
-    budget.gone(OfficeId(0));
+    assert_eq!(budget.ask(ExchangeId(5), Purpose::Idle), Grant::After(ExchangeId(0)), "the fleet has grown");
+    budget.gone(ExchangeId(0));
     assert_eq!(budget.held(), 4);
-    budget.ended(OfficeId(0));
+    budget.ended(ExchangeId(0));
     assert_eq!(budget.held(), 4, "what is gone is counted off once");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,7 +9,7 @@
 /// A controller that has heard of 40 far ends, with room to each.
 fn fleet(with: Settings) -> Bench {
     let mut bench = Bench::new(with);
-    bench.list(ListKind::Full, (0..=FARS).map(office).collect());
+    bench.list(RosterKind::Full, (0..=FARS).map(office).collect());
     (1..=FARS).for_each(|number| bench.circuits(number, 100.0, 100.0));
     bench
 }
@@ -31,7 +31,7 @@
             if took < 1.2 {
                 bench.stands(&id, 0, dest, took);
             } else {
-                bench.answer(&id, 0, dest, Outcome::TimedOut, Why::Unsaid);
+                bench.answer(&id, 0, dest, Outcome::TimedOut, Cause::Unspecified);
             }
         }
     }
@@ -60,7 +60,7 @@
         bench.circuits(40, 100.0, 100.0);
     });
     for (id, dest) in wave {
-        bench.answer(&id, 0, dest, Outcome::TimedOut, Why::Unsaid);
+        bench.answer(&id, 0, dest, Outcome::TimedOut, Cause::Unspecified);
     }
     let refusals = (13..33).take_while(|dest| {
         bench.now += 0.2;
@@ -106,8 +106,8 @@
 fn a_reported_rate_is_read_against_the_best_of_that_far_end() {
     let mut bench = fleet(settings());
     let rate = |bench: &mut Bench, rate: f64| {
-        let report = Report { rate: Some(rate), ..Report::default() };
-        bench.event(Event::Status { office: id_of(3), ok: true, took: 0.01, report });
+        let report = LoadReport { set_up_rate: Some(rate), ..LoadReport::default() };
+        bench.event(Event::Status { exchange: id_of(3), ok: true, elapsed: 0.01, report });
         bench.refused(3, 20)
     };
     assert_eq!(rate(&mut bench, 2.0), 0, "small, not slow");
@@ -122,7 +122,7 @@
     bench.circuits(3, 0.0, 0.0);
     let drawn = (0..60).filter(|_| {
         let mut call = bench.arrival(3);
-        call.hop = Some(ExchangeNo(7));
+        call.hop = Some(ExchangeNumber(7));
         let id = call.id.clone();
         let tandem = sent_to(&bench.event(Event::Arrival(call))).expect("a tandem has room");
         bench.stands(&id, 0, tandem.0 as i64 - 100, 0.1);
@@ -146,7 +146,7 @@
 #[test]
 fn the_own_processor_is_probed_and_its_failure_to_answer_counts() {
     let mut with = settings();
-    with.probing = true;
+    with.probing_allowed = true;
     let mut bench = fleet(with);
     let probes = (0..60).filter(|_| {
         bench.now += 0.02;
@@ -155,7 +155,8 @@
         actions.contains(&Action::Probe(id_of(OWN)))
     });
     assert_eq!(probes.count(), 2, "once in half an aim");
-    let failed = Event::Status { office: id_of(OWN), ok: false, took: 0.25, report: Report::default() };
+    let failed =
+        Event::Status { exchange: id_of(OWN), ok: false, elapsed: 0.25, report: LoadReport::default() };
     bench.event(failed);
     assert_eq!(bench.refused(5, 20), 16);
 }
--- a/tests/liveness.rs
+++ b/tests/liveness.rs
@@ -10,8 +10,8 @@
     CallId(name.to_owned())
 }
 
-fn used(circuits: f64) -> Report {
-    Report { free: Some(40.0 - circuits), size: Some(40.0), ..Report::default() }
+fn used(circuits: f64) -> LoadReport {
+    LoadReport { free_circuits: Some(40.0 - circuits), group_size: Some(40.0), ..LoadReport::default() }
 }
 
 /// A detector and its clock.
@@ -175,7 +175,7 @@
         bench.detector.closed(Time(bench.now), connection, Ending::Broken);
     }
     bench.detector.opened(Time(bench.now), 4);
-    bench.detector.state(Time(bench.now), 4, &Report::default());
+    bench.detector.state(Time(bench.now), 4, &LoadReport::default());
     let start = bench.now;
     let ends = expired(&bench.run(20.0, |_, _| {}));
     assert!(ends[0].0 - start < 7.9);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -14,7 +14,7 @@
         bench.wait(3, wait);
         assert_eq!(bench.refused(3, 40), share, "wait {wait}");
         let mut dear = bench.arrival(3);
-        dear.class = ClassIx(1);
+        dear.class = ClassIndex(1);
         dear.width = 4;
         assert!(sent_to(&bench.event(Event::Arrival(dear))).is_some(), "urgent at wait {wait}");
     }
@@ -25,7 +25,7 @@
     let mut bench = Bench::new(settings());
     bench.wait(3, 4.0);
     let mut cut = bench.arrival(3);
-    cut.came_back = true;
+    cut.re_established = true;
     assert!(refused(&bench.event(Event::Arrival(cut))));
 }
 
@@ -60,7 +60,7 @@
     let mut bench = Bench::new(settings());
     let (id, actions) = bench.call(3);
     assert_eq!(sent_to(&actions), Some(id_of(3)));
-    assert!(refused(&bench.answer(&id, 0, 3, Outcome::Full, Why::ProcessorFull)));
+    assert!(refused(&bench.answer(&id, 0, 3, Outcome::Refused, Cause::ProcessorFull)));
     assert!(refused(&bench.call(3).1), "within the pause");
     bench.now += 0.25;
     let refusals = (0..20).filter(|_| refused(&bench.call(3).1)).count();
@@ -92,7 +92,7 @@
         let number = tandem.0 as i64 - 100;
         firsts.push(number);
         if number == 1 {
-            let again = bench.answer(&id, 0, 1, Outcome::Full, Why::TurnedBack);
+            let again = bench.answer(&id, 0, 1, Outcome::Refused, Cause::Crankback);
             assert!(sent_to(&again).is_some_and(|o| o != tandem));
         } else {
             bench.stands(&id, 0, number, 0.1);
@@ -108,7 +108,7 @@
     let mut bench = Bench::new(settings());
     let mut transit = bench.arrival(3);
     transit.transit = true;
-    transit.hop = Some(ExchangeNo(1));
+    transit.hop = Some(ExchangeNumber(1));
     assert_eq!(sent_to(&bench.event(Event::Arrival(transit.clone()))), Some(id_of(3)));
     bench.circuits(3, 3.0, 30.0);
     transit.id = CallId("second".into());
@@ -121,7 +121,7 @@
     let mut bench = Bench::new(settings());
     bench.circuits(3, 3.0, 30.0);
     let mut redial = bench.arrival(3);
-    redial.resent = true;
+    redial.redial = true;
     assert!(refused(&bench.event(Event::Arrival(redial))));
     assert_eq!(sent_to(&bench.call(3).1), Some(id_of(3)));
 }
@@ -146,8 +146,8 @@
     bench.circuits(3, 1000.0, 1000.0);
     bench.wait(3, 0.5);
     let mut redial = bench.arrival(3);
-    redial.resent = true;
-    redial.class = ClassIx(1);
+    redial.redial = true;
+    redial.class = ClassIndex(1);
     assert!(refused(&bench.event(Event::Arrival(redial))));
 }
 
@@ -157,7 +157,7 @@
     let mut bench = Bench::new(settings());
     let (id, _) = bench.call(3);
     bench.now += 1.2;
-    bench.answer(&id, 0, 3, Outcome::TimedOut, Why::Unsaid);
+    bench.answer(&id, 0, 3, Outcome::TimedOut, Cause::Unspecified);
     bench.now += 30.0;
     let (trial, actions) = bench.call(3);
     assert_eq!(sent_to(&actions), Some(id_of(3)));
@@ -180,7 +180,7 @@
         assert_eq!(bench.refused(3, 1), 0, "at {}", bench.now);
     }
     bench.now += 0.2;
-    bench.answer(&lost, 0, 3, Outcome::TimedOut, Why::Unsaid);
+    bench.answer(&lost, 0, 3, Outcome::TimedOut, Cause::Unspecified);
     // Not silent: more than one may be out there.
     for _ in 0..3 {
         assert!(sent_to(&bench.call(3).1).is_some());
@@ -205,7 +205,7 @@
     bench.refused(3, 1);
     let sent = (0..200).filter(|_| {
         let mut cut = bench.arrival(3);
-        cut.came_back = true;
+        cut.re_established = true;
         sent_to(&bench.event(Event::Arrival(cut))).is_some()
     });
     let sent = sent.count();
@@ -233,7 +233,7 @@
     let mut bench = Bench::new(settings());
     let dial = |bench: &mut Bench, resent: bool| {
         let mut call = bench.arrival(3);
-        (call.number, call.resent) = (Some("n/7".into()), resent);
+        (call.number, call.redial) = (Some("n/7".into()), resent);
         bench.event(Event::Arrival(call))
     };
     for number in 1..5 {
@@ -252,12 +252,12 @@
 #[test]
 fn every_refusal_tells_when_to_come_back() {
     let mut bench = Bench::new(settings());
-    bench.list(ListKind::Changes, vec![Office { condition: Condition::Off, ..office(3) }]);
+    bench.list(RosterKind::Incremental, vec![RosterEntry { state: ServiceState::Removed, ..office(3) }]);
     let actions = bench.call(3).1;
     let [Action::Refuse { cool_down: Some(wait), .. }] = actions[..] else { panic!("{actions:?}") };
     assert!(wait > 0.0 && wait < 1.2 / 2.0, "{wait}");
     let mut with = settings();
-    with.cool_down = false;
+    with.cool_down_allowed = false;
     let mut bench = Bench::new(with);
     assert!(matches!(bench.call(OWN).1[..], [Action::Refuse { cool_down: None, .. }]));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,18 +7,18 @@
 #[test]
 fn rule_one_every_way_to_fail_ends_in_one_final_answer() {
     let outcomes = [
-        (Outcome::Error, Why::LinesBusy),
-        (Outcome::Error, Why::Unsaid),
-        (Outcome::Full, Why::NoCircuit),
-        (Outcome::Full, Why::TurnedBack),
-        (Outcome::Full, Why::BeyondFull),
-        (Outcome::Full, Why::ProcessorFull),
-        (Outcome::TimedOut, Why::Unsaid),
-        (Outcome::ConnectFailed, Why::Unsaid),
-        (Outcome::Reset, Why::Unsaid),
-        (Outcome::Cancelled, Why::Unsaid),
-        (Outcome::Moot, Why::NoCircuit),
-        (Outcome::Moot, Why::ProcessorFull),
+        (Outcome::Error, Cause::LinesBusy),
+        (Outcome::Error, Cause::Unspecified),
+        (Outcome::Refused, Cause::NoCircuit),
+        (Outcome::Refused, Cause::Crankback),
+        (Outcome::Refused, Cause::FarProcessorFull),
+        (Outcome::Refused, Cause::ProcessorFull),
+        (Outcome::TimedOut, Cause::Unspecified),
+        (Outcome::ConnectFailed, Cause::Unspecified),
+        (Outcome::Reset, Cause::Unspecified),
+        (Outcome::Cancelled, Cause::Unspecified),
+        (Outcome::NotSent, Cause::NoCircuit),
+        (Outcome::NotSent, Cause::ProcessorFull),
     ];
     for (outcome, why) in outcomes {
         let mut bench = Bench::new(settings());
@@ -50,32 +50,33 @@
     let mut bench = Bench::new(settings());
     let (id, _) = bench.call(3);
     // An outcome of an attempt never made, or for the wrong leg, moves nothing.
-    assert!(bench.answer(&id, 5, 3, Outcome::Full, Why::TurnedBack).is_empty());
-    assert!(bench.event(Event::Timer(Token(99))).is_empty());
+    assert!(bench.answer(&id, 5, 3, Outcome::Refused, Cause::Crankback).is_empty());
+    assert!(bench.event(Event::Timer(TimerToken(99))).is_empty());
     assert!(bench.stands(&id, 3, 3, 0.1).is_empty());
 }
 
 #[test]
 fn rule_three_nothing_goes_to_a_draining_or_removed_office() {
-    for condition in [Condition::Draining, Condition::Off] {
+    for condition in [ServiceState::Draining, ServiceState::Removed] {
         let mut bench = Bench::new(settings());
-        bench.list(ListKind::Changes, vec![Office { condition, ..office(3) }]);
+        bench.list(RosterKind::Incremental, vec![RosterEntry { state: condition, ..office(3) }]);
         assert!(refused(&bench.call(3).1));
     }
     let mut bench = Bench::new(settings());
-    bench.list(ListKind::Full, vec![office(0), office(1), office(2)]);
+    bench.list(RosterKind::Full, vec![office(0), office(1), office(2)]);
     assert!(refused(&bench.call(3).1), "an office missing from a full list is gone");
-    bench.list(ListKind::Failed, Vec::new());
+    bench.list(RosterKind::RequestFailed, Vec::new());
     assert_eq!(sent_to(&bench.call(2).1), Some(id_of(2)), "a failed request leaves the list in force");
 }
 
 #[test]
 fn a_replacement_takes_the_calls_of_its_number() {
     let mut bench = Bench::new(settings());
-    let new = Office { id: OfficeId(900), ready_at: Some(Time(bench.now)), ..office(3) };
-    bench.list(ListKind::Changes, vec![Office { condition: Condition::Draining, ..office(3) }, new]);
+    let new = RosterEntry { id: ExchangeId(900), ready_at: Some(Time(bench.now)), ..office(3) };
+    bench
+        .list(RosterKind::Incremental, vec![RosterEntry { state: ServiceState::Draining, ..office(3) }, new]);
     bench.now += 3.0; // until a set-up's share of the fall budget has come
-    assert_eq!(sent_to(&bench.call(3).1), Some(OfficeId(900)));
+    assert_eq!(sent_to(&bench.call(3).1), Some(ExchangeId(900)));
 }
 
 /// Sends to a cold office that took 20 set-ups a second before its start, within `span` from it, by `n` call
@@ -84,11 +85,14 @@
     let mut sends = Vec::new();
     for seed in 0..n {
         let mut with = settings();
-        with.instances = n;
+        with.proxies = n;
         let mut bench = Bench::seeded(with, u64::from(seed));
-        let report = Report { rate: Some(20.0), ..Report::default() };
-        bench.event(Event::Status { office: id_of(3), ok: true, took: 0.0, report });
-        bench.list(ListKind::Changes, vec![Office { ready_at: Some(Time(bench.now)), ..office(3) }]);
+        let report = LoadReport { set_up_rate: Some(20.0), ..LoadReport::default() };
+        bench.event(Event::Status { exchange: id_of(3), ok: true, elapsed: 0.0, report });
+        bench.list(
+            RosterKind::Incremental,
+            vec![RosterEntry { ready_at: Some(Time(bench.now)), ..office(3) }],
+        );
         let start = bench.now;
         while bench.now - start < span {
             let (id, actions) = bench.call(3);
@@ -117,7 +121,7 @@
 fn a_warm_office_is_not_held_back() {
     let mut bench = Bench::new(settings());
     bench.circuits(3, 1000.0, 1000.0);
-    bench.list(ListKind::Changes, vec![Office { ready_at: Some(Time(bench.now)), ..office(3) }]);
+    bench.list(RosterKind::Incremental, vec![RosterEntry { ready_at: Some(Time(bench.now)), ..office(3) }]);
     assert!(bench.refused(3, 50) > 40);
     bench.now += 20.0;
     assert_eq!(bench.refused(3, 50), 0);
@@ -130,7 +134,7 @@
         let (id, _) = bench.call(3);
         bench.now += 0.1;
         let told = bench.now;
-        let actions = bench.answer(&id, 0, 3, outcome, Why::Unsaid);
+        let actions = bench.answer(&id, 0, 3, outcome, Cause::Unspecified);
         assert_eq!(sent_to(&actions), None, "{outcome:?}");
         let actions = bench.ring(&actions);
         assert!(bench.now - told >= 0.3);
@@ -141,27 +145,27 @@
 #[test]
 fn single_shot_calls_that_may_have_run_are_failed_not_repeated() {
     let mut with = settings();
-    with.classes[0].effect = Effect::SingleShot;
+    with.classes[0].repeat_semantics = RepeatSemantics::AtMostOnce;
     let mut bench = Bench::new(with);
     let (id, _) = bench.call(3);
-    let actions = bench.answer(&id, 0, 3, Outcome::TimedOut, Why::Unsaid);
+    let actions = bench.answer(&id, 0, 3, Outcome::TimedOut, Cause::Unspecified);
     let actions = if failed(&actions) { actions } else { bench.ring(&actions) };
     assert!(failed(&actions), "{actions:?}");
     // Proven not to have run: both are allowed again.
     let (id, _) = bench.call(2);
-    assert!(refused(&bench.answer(&id, 0, 2, Outcome::Full, Why::ProcessorFull)));
+    assert!(refused(&bench.answer(&id, 0, 2, Outcome::Refused, Cause::ProcessorFull)));
 }
 
 #[test]
 fn guarded_calls_stay_within_their_group() {
     let mut with = settings();
-    with.classes[0].effect = Effect::Guarded(Scope::Cell);
+    with.classes[0].repeat_semantics = RepeatSemantics::Deduplicated(DuplicateScope::Number);
     let mut bench = Bench::new(with);
     bench.circuits(3, 0.0, 30.0);
     let (id, actions) = bench.call(3);
     let tandem = sent_to(&actions).expect("a tandem");
     bench.now += 0.05;
-    let actions = bench.answer(&id, 0, tandem.0 as i64 - 100, Outcome::Reset, Why::Unsaid);
+    let actions = bench.answer(&id, 0, tandem.0 as i64 - 100, Outcome::Reset, Cause::Unspecified);
     let actions = bench.ring(&actions);
     assert!(failed(&actions), "no other tandem, and no refusal: {actions:?}");
 }
@@ -181,7 +185,7 @@
         (call.id.clone(), bench.event(Event::Arrival(call)))
     };
     let (id, _) = to(&mut bench);
-    assert!(refused(&bench.answer(&id, 0, 3, Outcome::Error, Why::LinesBusy)));
+    assert!(refused(&bench.answer(&id, 0, 3, Outcome::Error, Cause::LinesBusy)));
     assert!(refused(&to(&mut bench).1));
     assert_eq!(bench.refused(3, 5), 0, "other numbers there are not gapped");
     bench.now += 60.0;
@@ -191,10 +195,10 @@
 #[test]
 fn odd_settings_do_no_harm() {
     let mut odd = settings();
-    odd.classes.iter_mut().for_each(|c| c.aim = 0.0);
-    odd.instances = 0;
+    odd.classes.iter_mut().for_each(|c| c.target = 0.0);
+    odd.proxies = 0;
     odd.max_attempts = 0;
-    (odd.fall, odd.warm_within, odd.tick, odd.cold_from) = (0.0, -1.0, 0.0, f64::NAN);
+    (odd.collapse_time, odd.warm_up_time, odd.tick, odd.cold_share) = (0.0, -1.0, 0.0, f64::NAN);
     let mut bench = Bench::new(odd);
     assert!(!bench.call(3).1.is_empty());
     let mut none = settings();
@@ -212,15 +216,15 @@
     controller.start(Time(5.0), &mut out);
     assert_eq!(out, [Action::Subscribe]);
     let mut bench = Bench::new(with);
-    let actions = bench.list(ListKind::Failed, Vec::new());
+    let actions = bench.list(RosterKind::RequestFailed, Vec::new());
     assert_eq!(bench.ring(&actions), [Action::Subscribe]);
 }
 
 #[test]
 fn skills_go_to_the_first_choice_then_to_another_allowed_pool() {
     let mut with = settings();
-    (with.form, with.own) = (Form::Skills, None);
-    with.classes[0].pools = vec![ExchangeNo(3), ExchangeNo(4)];
+    (with.service_kind, with.own_exchange) = (ServiceKind::AgentPools, None);
+    with.classes[0].pools = vec![ExchangeNumber(3), ExchangeNumber(4)];
     let mut bench = Bench::new(with);
     assert_eq!(sent_to(&bench.call(3).1), Some(id_of(3)));
     bench.circuits(3, 0.0, 30.0);
@@ -235,10 +239,11 @@
 fn a_cold_own_processor_may_use_half_of_the_fall_budget() {
     let mut bench = Bench::new(settings());
     for number in [OWN, 1, 2, 3, 4] {
-        let report = Report { rate: Some(20.0), waiting: Some(0.0), ..Report::default() };
-        bench.event(Event::Status { office: id_of(number), ok: true, took: 0.0, report });
+        let report =
+            LoadReport { set_up_rate: Some(20.0), queued_messages: Some(0.0), ..LoadReport::default() };
+        bench.event(Event::Status { exchange: id_of(number), ok: true, elapsed: 0.0, report });
     }
-    bench.list(ListKind::Changes, vec![Office { ready_at: Some(Time(bench.now)), ..office(OWN) }]);
+    bench.list(RosterKind::Incremental, vec![RosterEntry { ready_at: Some(Time(bench.now)), ..office(OWN) }]);
     // Half of 2.5 x 0.3 x 20 a second: half of a second's at once, the rest as time goes by.
     assert_eq!(50 - bench.refused(3, 50), 3);
     bench.now += 0.5;
