--- a/crates/soak/src/trial/mod.rs
+++ b/crates/soak/src/trial/mod.rs
@@ -16,7 +16,7 @@
 use mallowring_standin::exchange::Exchange;
 use mallowring_standin::proxy::Setup;
 use mallowring_standin::record::{now, Entry, Record};
-use mallowring_standin::{run, sleep, Tasks};
+use mallowring_standin::{run, sleep, Executor};
 use proxies::ProxySlot;
 
 use crate::coverage::Coverage;
@@ -45,7 +45,7 @@
 
 /// Everything of a trial that is under way.
 struct Stage {
-    tasks: Tasks,
+    tasks: Executor,
     record: Record,
     plan: Plan,
     /// The exchange that serves each number now.
@@ -90,7 +90,7 @@
 }
 
 impl Stage {
-    async fn set_up(tasks: Tasks, plan: Plan, program: PathBuf) -> io::Result<Stage> {
+    async fn set_up(tasks: Executor, plan: Plan, program: PathBuf) -> io::Result<Stage> {
         let record = Record::default();
         let mut exchanges = Vec::new();
         for ix in 0..plan.exchanges {
--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -11,13 +11,13 @@
 use mallowring_standin::messages::{Script, SetUp};
 use mallowring_standin::proxy::{Proxy, Setup};
 use mallowring_standin::record::{now, Observation, Record};
-use mallowring_standin::{run, sleep, Tasks};
+use mallowring_standin::{run, sleep, Executor};
 
 /// Callers under load, and the calls of each.
 const CALLERS: u64 = 20;
 const CALLS: u64 = 150;
 
-async fn measure(tasks: Tasks, program: &Path, number: i64, limits: (u64, u64)) -> std::io::Result<()> {
+async fn measure(tasks: Executor, program: &Path, number: i64, limits: (u64, u64)) -> std::io::Result<()> {
     let record = Record::default();
     let mut exchanges = Vec::new();
     for n in 1..=number {
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -13,7 +13,7 @@
 
 use crate::messages::{self, call_of, Reader, SetUp};
 use crate::record::{now, Observation, Record};
-use crate::{sleep, Tasks};
+use crate::{sleep, Executor};
 
 /// What is known of a connection, by whoever writes on it and by whoever reads.
 #[derive(Default)]
@@ -50,7 +50,7 @@
 impl Caller {
     /// Connects to a proxy, counted from 0, and notes from now on what it says.
     pub async fn connect(
-        tasks: &Tasks,
+        tasks: &Executor,
         record: &Record,
         name: &str,
         proxy: usize,
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -10,7 +10,7 @@
 use smol::net::{TcpListener, TcpStream};
 
 use crate::record::{now, Observation, Record};
-use crate::{listener, sleep, Tasks};
+use crate::{listener, sleep, Executor};
 
 /// Between two lines that hold the last number alone.
 const HEARTBEAT: f64 = 1.0;
@@ -70,7 +70,7 @@
 }
 
 struct Inner {
-    tasks: Tasks,
+    tasks: Executor,
     record: Record,
     /// The proxy that it tells, from 0.
     proxy: usize,
@@ -88,7 +88,7 @@
 
 impl Discovery {
     /// Starts with the whole list as its first event.
-    pub fn start(tasks: &Tasks, record: &Record, proxy: usize, whole: &[Listed]) -> io::Result<Discovery> {
+    pub fn start(tasks: &Executor, record: &Record, proxy: usize, whole: &[Listed]) -> io::Result<Discovery> {
         let listener = listener::bind(([127, 0, 0, 1], 0).into())?;
         let inner = Inner {
             tasks: tasks.clone(),
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::messages::{self, call_of, Reader};
 use crate::record::{now, Observation, Record};
-use crate::{listener, sleep, Tasks};
+use crate::{listener, sleep, Executor};
 
 /// Between two looks of a task that is held up.
 const LOOK: f64 = 0.002;
@@ -71,7 +71,7 @@
 }
 
 struct Inner {
-    tasks: Tasks,
+    tasks: Executor,
     record: Record,
     name: String,
     number: i64,
@@ -108,7 +108,7 @@
 impl Exchange {
     /// Starts an exchange of a number with one address for each proxy.
     pub fn start(
-        tasks: &Tasks,
+        tasks: &Executor,
         record: &Record,
         name: &str,
         number: i64,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -16,11 +16,11 @@
 use std::rc::Rc;
 
 /// Where the stand-ins of one trial run.
-pub type Tasks = Rc<smol::LocalExecutor<'static>>;
+pub type Executor = Rc<smol::LocalExecutor<'static>>;
 
 /// Runs one trial on this thread.
-pub fn run<T>(trial: impl AsyncFnOnce(Tasks) -> T) -> T {
-    let tasks: Tasks = Rc::new(smol::LocalExecutor::new());
+pub fn run<T>(trial: impl AsyncFnOnce(Executor) -> T) -> T {
+    let tasks: Executor = Rc::new(smol::LocalExecutor::new());
     let inner = tasks.clone();
     smol::block_on(tasks.run(trial(inner)))
 }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -9,11 +9,11 @@
 use mallowring_standin::messages::{Script, SetUp};
 use mallowring_standin::proxy::{Proxy, Setup};
 use mallowring_standin::record::{now, Observation, Record};
-use mallowring_standin::{sleep, Tasks};
+use mallowring_standin::{sleep, Executor};
 
 /// Everything around the one proxy.
 pub struct Scene {
-    pub tasks: Tasks,
+    pub tasks: Executor,
     pub record: Record,
     pub discovery: Discovery,
     pub exchanges: Vec<Exchange>,
@@ -38,12 +38,12 @@
 
 impl Scene {
     /// So many exchanges, and a proxy without tight limits.
-    pub async fn start(tasks: Tasks, exchanges: i64) -> Scene {
+    pub async fn start(tasks: Executor, exchanges: i64) -> Scene {
         Scene::with(tasks, exchanges, Setup::new("n0", 0, 2)).await
     }
 
     /// So many exchanges, and a proxy of this setup that is ready.
-    pub async fn with(tasks: Tasks, exchanges: i64, setup: Setup) -> Scene {
+    pub async fn with(tasks: Executor, exchanges: i64, setup: Setup) -> Scene {
         let record = Record::default();
         let start =
             |number| Exchange::start(&tasks, &record, &format!("s-{number}"), number, 1).expect("sockets");
