--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use mallowring_standin::caller::Caller;
-use mallowring_standin::messages::{Script, SetUp};
+use mallowring_standin::messages::{CallScript, SetUp};
 use mallowring_standin::record::now;
 use mallowring_standin::sleep;
 
@@ -97,10 +97,10 @@
 
     /// Asks for a call and waits; returns whether there was a final answer.
     async fn ask(&self, planned: &PlannedCall, call: &str) -> bool {
-        let script = Script { answer_ms: planned.answer_ms, hold_ms: planned.hold_ms };
+        let script = CallScript { answer_ms: planned.answer_ms, hold_ms: planned.hold_ms };
         let set_up = SetUp {
             call: call.to_owned(),
-            number: script.number(),
+            number: script.called_number(),
             deadline_ms: planned.deadline_ms,
             destination: FIRST_NUMBER + planned.exchange as i64,
         };
--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -8,7 +8,7 @@
 use mallowring_standin::caller::Caller;
 use mallowring_standin::discovery::{Discovery, Lifecycle, Listed};
 use mallowring_standin::exchange::Exchange;
-use mallowring_standin::messages::{Script, SetUp};
+use mallowring_standin::messages::{CallScript, SetUp};
 use mallowring_standin::proxy::{Proxy, Setup};
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::{run, sleep, Executor};
@@ -63,7 +63,7 @@
     for n in 0..CALLS {
         let set_up = SetUp {
             call: format!("{number:08x}{n:08x}"),
-            number: Script { answer_ms: 0, hold_ms: 60_000 }.number(),
+            number: CallScript { answer_ms: 0, hold_ms: 60_000 }.called_number(),
             deadline_ms: 2500,
             destination: 1 + ((number * CALLS + n) % exchanges) as i64,
         };
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -11,7 +11,7 @@
 use smol::lock::Mutex;
 use smol::net::TcpStream;
 
-use crate::messages::{self, call_of, Reader, SetUp};
+use crate::messages::{self, call_id, MessageReader, SetUp};
 use crate::record::{now, Observation, Record};
 use crate::{sleep, Executor};
 
@@ -146,7 +146,7 @@
     pub async fn hang_up(&self, call: &str) -> io::Result<()> {
         self.record.add(&self.name, self.proxy, call, Observation::HungUp);
         self.state.standing.borrow_mut().remove(call);
-        messages::send(&mut *self.way_out.lock().await, &messages::release(call, 16)).await
+        messages::send(&mut *self.way_out.lock().await, &messages::release_request(call, 16)).await
     }
 
     /// Writes bytes as they are.
@@ -171,9 +171,9 @@
     record: &Record,
     state: &State,
 ) {
-    let mut reader = Reader::new(stream);
+    let mut reader = MessageReader::new(stream);
     while let Some(message) = reader.next().await {
-        let id = call_of(&message);
+        let id = call_id(&message);
         match (message.status(), message.method()) {
             (Some(status), _) if status >= 200 => {
                 let Some((_, "INVITE")) = message.cseq() else { continue };
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -3,7 +3,7 @@
 use mallowring::sip::message::{Message, Start};
 
 use super::{Call, Condition, Exchange};
-use crate::messages::{self, call_of, Script};
+use crate::messages::{self, call_id, CallScript};
 use crate::record::{now, Observation};
 use crate::sleep;
 
@@ -12,7 +12,7 @@
 
 impl Exchange {
     pub(super) fn take(&self, ix: usize, connection: u64, message: Message) {
-        let id = call_of(&message);
+        let id = call_id(&message);
         match message.method() {
             Some("INVITE") => {
                 let description = String::from_utf8_lossy(&message.body).into_owned();
@@ -47,12 +47,12 @@
 
     /// The life of one call.
     async fn play(&self, ix: usize, connection: u64, set_up: Message) {
-        let (id, process) = (call_of(&set_up), self.0.process.get());
+        let (id, process) = (call_id(&set_up), self.0.process.get());
         let uri = match &set_up.start {
             Start::Request { uri, .. } => uri.as_str(),
             Start::Response { .. } => "",
         };
-        let Some(script) = Script::read(uri) else {
+        let Some(script) = CallScript::parse(uri) else {
             self.forget(&id);
             return self.write(ix, connection, &Message::response(500, "No Script", &set_up.headers));
         };
@@ -99,7 +99,7 @@
     fn release(&self, call: Call, id: &str) {
         self.0.released_at.set(now());
         let port = &self.0.ports[call.port];
-        let message = messages::release(id, 16);
+        let message = messages::release_request(id, 16);
         let elsewhere = self.0.misbehaviour.get().releases_elsewhere;
         let on = {
             let open = port.connections.borrow();
@@ -127,7 +127,7 @@
         let port = &self.0.ports[ix];
         let Some(on) = port.connections.borrow().keys().next().copied() else { return };
         for message in port.unsaid.borrow_mut().drain(..) {
-            self.note_call(ix, &call_of(&message), Observation::ReleaseSent);
+            self.note_call(ix, &call_id(&message), Observation::ReleaseSent);
             self.write(ix, on, &message);
         }
     }
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -19,7 +19,7 @@
 use smol::net::{TcpListener, TcpStream};
 use socket2::Socket;
 
-use crate::messages::{self, call_of, Reader};
+use crate::messages::{self, call_id, MessageReader};
 use crate::record::{now, Observation, Record};
 use crate::{listener, sleep, Executor};
 
@@ -247,14 +247,14 @@
         self.0.tasks.spawn(written).detach();
         self.write(ix, connection, &self.state(ix));
         for message in port.releases.borrow_mut().drain(..) {
-            self.note_call(ix, &call_of(&message), Observation::ReleaseSent);
+            self.note_call(ix, &call_id(&message), Observation::ReleaseSent);
             self.write(ix, connection, &message);
         }
         self.read_all(ix, connection, stream, process).await;
     }
 
     async fn read_all(&self, ix: usize, connection: u64, stream: TcpStream, process: u64) {
-        let mut reader = Reader::new(stream);
+        let mut reader = MessageReader::new(stream);
         while let Some(message) = reader.next().await {
             self.works(process).await;
             while self.0.silenced.borrow().contains(&connection) {
@@ -286,7 +286,7 @@
 
     fn state(&self, ix: usize) -> Message {
         let used = self.0.ports[ix].circuits_used.get();
-        messages::state(CIRCUITS.saturating_sub(used), CIRCUITS)
+        messages::trunk_group_state(CIRCUITS.saturating_sub(used), CIRCUITS)
     }
 
     /// A state goes to all connections about its trunk group.
--- a/crates/standin/src/messages.rs
+++ b/crates/standin/src/messages.rs
@@ -8,15 +8,15 @@
 
 /// Reads whole messages from a stream.
 #[derive(Debug)]
-pub struct Reader {
+pub struct MessageReader {
     stream: TcpStream,
     framer: Framer,
 }
 
-impl Reader {
+impl MessageReader {
     /// A reader at the beginning of a stream.
-    pub fn new(stream: TcpStream) -> Reader {
-        Reader { stream, framer: Framer::default() }
+    pub fn new(stream: TcpStream) -> MessageReader {
+        MessageReader { stream, framer: Framer::default() }
     }
 
     /// The next message; `None` once the stream has ended, broken or lost its bounds.
@@ -43,12 +43,12 @@
 }
 
 /// The id of a message's call, or nothing.
-pub fn call_of(message: &Message) -> String {
+pub fn call_id(message: &Message) -> String {
     message.get("Call-ID").unwrap_or_default().to_owned()
 }
 
 /// The state of a trunk group.
-pub fn state(free: u32, size: u32) -> Message {
+pub fn trunk_group_state(free: u32, size: u32) -> Message {
     Message::request("NOTIFY", "sip:proxy@net")
         .with("Call-ID", "state")
         .with("CSeq", "1 NOTIFY")
@@ -56,7 +56,7 @@
 }
 
 /// A release with a cause (Q.850): 16 for a call that has come to its end, 41 for one that was cut.
-pub fn release(call: &str, cause: u32) -> Message {
+pub fn release_request(call: &str, cause: u32) -> Message {
     Message::request("BYE", "sip:x@net")
         .with("Via", "SIP/2.0/TCP peer")
         .with("Call-ID", call)
@@ -65,7 +65,7 @@
 }
 
 /// A test.
-pub fn test() -> Message {
+pub fn options_request() -> Message {
     Message::request("OPTIONS", "sip:ping@net").with("Call-ID", "t").with("CSeq", "1 OPTIONS")
 }
 
@@ -100,25 +100,25 @@
 
 /// What an exchange does with a call, written in the number called.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Script {
+pub struct CallScript {
     /// Milliseconds until the set-up is answered.
     pub answer_ms: u64,
     /// Milliseconds for which the call stands then.
     pub hold_ms: u64,
 }
 
-impl Script {
+impl CallScript {
     /// The number to call.
-    pub fn number(&self) -> String {
+    pub fn called_number(&self) -> String {
         format!("a{}-h{}", self.answer_ms, self.hold_ms)
     }
 
     /// Reads the number in the first line of a set-up.
-    pub fn read(uri: &str) -> Option<Script> {
+    pub fn parse(uri: &str) -> Option<CallScript> {
         let number = uri.strip_prefix("sip:")?.split_once('@')?.0;
         let (answer, hold) = number.split_once('-')?;
         let answer_ms = answer.strip_prefix('a')?.parse().ok()?;
         let hold_ms = hold.strip_prefix('h')?.parse().ok()?;
-        Some(Script { answer_ms, hold_ms })
+        Some(CallScript { answer_ms, hold_ms })
     }
 }
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -14,7 +14,7 @@
 use smol::net::TcpStream;
 
 use crate::discovery::Discovery;
-use crate::messages::{self, Reader};
+use crate::messages::{self, MessageReader};
 use crate::record::now;
 use crate::sleep;
 
@@ -120,8 +120,8 @@
     pub async fn passes_a_test(listen: SocketAddr) -> io::Result<bool> {
         let test = async {
             let mut stream = TcpStream::connect(listen).await?;
-            messages::send(&mut stream, &messages::test()).await?;
-            let answer = Reader::new(stream).next().await;
+            messages::send(&mut stream, &messages::options_request()).await?;
+            let answer = MessageReader::new(stream).next().await;
             Ok(answer.and_then(|message| message.status()) == Some(200))
         };
         let late = async {
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -6,7 +6,7 @@
 use mallowring_standin::caller::Caller;
 use mallowring_standin::discovery::{Discovery, Lifecycle, Listed};
 use mallowring_standin::exchange::Exchange;
-use mallowring_standin::messages::{Script, SetUp};
+use mallowring_standin::messages::{CallScript, SetUp};
 use mallowring_standin::proxy::{Proxy, Setup};
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::{sleep, Executor};
@@ -63,7 +63,7 @@
 
     /// Asks for a call without waiting.
     pub async fn ask(&self, caller: &Caller, destination: i64, call: &str, hold_ms: u64) {
-        let number = Script { answer_ms: 5, hold_ms }.number();
+        let number = CallScript { answer_ms: 5, hold_ms }.called_number();
         let set_up = SetUp { call: call.to_owned(), number, deadline_ms: 2500, destination };
         caller.call(&set_up).await.expect("it is sent");
     }
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -2,7 +2,7 @@
 
 mod scene;
 
-use mallowring_standin::messages::{Script, SetUp};
+use mallowring_standin::messages::{CallScript, SetUp};
 use mallowring_standin::record::{now, Observation};
 use mallowring_standin::{run, sleep};
 use scene::{ids, Scene};
@@ -155,7 +155,7 @@
         assert!(caller.is_open().await, "a call stands on it");
         let late = SetUp {
             call: "00000009".repeat(2),
-            number: Script { answer_ms: 5, hold_ms: 100 }.number(),
+            number: CallScript { answer_ms: 5, hold_ms: 100 }.called_number(),
             deadline_ms: 2500,
             destination: 1,
         };
