--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -99,7 +99,7 @@
     async fn ask(&self, planned: &PlannedCall, call: &str) -> bool {
         let script = CallScript { answer_ms: planned.answer_ms, hold_ms: planned.hold_ms };
         let set_up = SetUp {
-            call: call.to_owned(),
+            call_id: call.to_owned(),
             number: script.called_number(),
             deadline_ms: planned.deadline_ms,
             destination: FIRST_NUMBER + planned.exchange as i64,
--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -62,7 +62,7 @@
     let mut stood = 0;
     for n in 0..CALLS {
         let set_up = SetUp {
-            call: format!("{number:08x}{n:08x}"),
+            call_id: format!("{number:08x}{n:08x}"),
             number: CallScript { answer_ms: 0, hold_ms: 60_000 }.called_number(),
             deadline_ms: 2500,
             destination: 1 + ((number * CALLS + n) % exchanges) as i64,
@@ -71,12 +71,12 @@
             return stood;
         }
         let until = now() + 3.0;
-        while caller.is_waiting_since(&set_up.call).is_some() && now() < until {
+        while caller.is_waiting_since(&set_up.call_id).is_some() && now() < until {
             sleep(0.0005).await;
         }
         let stands = |what: &Observation| matches!(what, Observation::Answered { status: 200, .. });
-        stood += u64::from(record.last(&set_up.call, stands).is_some());
-        let _ = caller.hang_up(&set_up.call).await;
+        stood += u64::from(record.last(&set_up.call_id, stands).is_some());
+        let _ = caller.hang_up(&set_up.call_id).await;
     }
     stood
 }
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -116,7 +116,7 @@
         for (ix, piece) in pieces.enumerate() {
             if ix == last {
                 // It counts from its last byte.
-                self.state.open.borrow_mut().insert(set_up.call.clone(), now());
+                self.state.open.borrow_mut().insert(set_up.call_id.clone(), now());
             }
             way_out.write_all(piece).await?;
             if ix < last {
@@ -124,7 +124,7 @@
             }
         }
         let deadline = set_up.deadline_ms as f64 / 1000.0;
-        self.record.add(&self.name, self.proxy, &set_up.call, Observation::Requested { deadline });
+        self.record.add(&self.name, self.proxy, &set_up.call_id, Observation::Requested { deadline });
         self.state.look();
         Ok(())
     }
--- a/crates/standin/src/messages.rs
+++ b/crates/standin/src/messages.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub struct SetUp {
     /// The id of the call, 16 hex digits.
-    pub call: String,
+    pub call_id: String,
     /// The number called, which tells the stand-in exchange what to do ([`Script`]).
     pub number: String,
     /// How long the caller waits, in milliseconds.
@@ -87,13 +87,13 @@
     pub fn message(&self) -> Message {
         let mut message = Message::request("INVITE", &format!("sip:{}@net", self.number))
             .with("Via", "SIP/2.0/TCP peer")
-            .with("Call-ID", &self.call)
+            .with("Call-ID", &self.call_id)
             .with("CSeq", "1 INVITE")
             // The more valuable class: no level but the highest refuses it.
             .with("X-Tier", "alarm")
             .with("X-Deadline", self.deadline_ms)
             .with("X-Attrs", format!("dest:{};width:1;via:-1", self.destination));
-        message.body = format!("offer-{}", self.call).into_bytes();
+        message.body = format!("offer-{}", self.call_id).into_bytes();
         message
     }
 }
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -154,7 +154,7 @@
         assert!(!idle.is_open().await, "nothing was on it");
         assert!(caller.is_open().await, "a call stands on it");
         let late = SetUp {
-            call: "00000009".repeat(2),
+            call_id: "00000009".repeat(2),
             number: CallScript { answer_ms: 5, hold_ms: 100 }.called_number(),
             deadline_ms: 2500,
             destination: 1,
@@ -163,7 +163,7 @@
         sleep(0.2).await;
         assert!(scene
             .record
-            .first(&late.call, |w| matches!(w, Observation::Answered { status: 503, .. }))
+            .first(&late.call_id, |w| matches!(w, Observation::Answered { status: 503, .. }))
             .is_some());
         let open = scene.not_released_by(&calls, now() + 3.0).await;
         assert!(open.is_empty(), "{}", scene.proxy.log());
