--- a/crates/soak/src/judge/calls.rs
+++ b/crates/soak/src/judge/calls.rs
@@ -38,7 +38,7 @@
     if answered.is_some_and(|at| at <= limit) {
         return None;
     }
-    if call.first(|what| *what == Observation::GaveUp).is_some_and(|at| at <= limit) {
+    if call.first(|observation| *observation == Observation::GaveUp).is_some_and(|at| at <= limit) {
         return None;
     }
     let end = world.end_of_proxy(call.proxy, call.requested).filter(|end| *end <= limit);
@@ -58,7 +58,8 @@
 }
 
 fn second_answer(call: &CallView) -> Option<Breach> {
-    let mut answers = call.entries.iter().filter(|entry| matches!(entry.what, Observation::Answered { .. }));
+    let mut answers =
+        call.entries.iter().filter(|entry| matches!(entry.observation, Observation::Answered { .. }));
     let second = answers.nth(1)?;
     breach(SECOND_ANSWER, call, second.at, "a second final answer".to_owned())
 }
@@ -66,20 +67,20 @@
 fn description(call: &CallView) -> Option<Breach> {
     let offer = format!("offer-{}", call.id);
     for entry in &call.entries {
-        if let Observation::SetUp { description } = &entry.what {
+        if let Observation::SetUp { description } = &entry.observation {
             if *description != offer {
                 return breach(
                     DESCRIPTION,
                     call,
                     entry.at,
-                    format!("{} was offered '{description}'", entry.who),
+                    format!("{} was offered '{description}'", entry.observer),
                 );
             }
         }
     }
     let (at, status, got) = call.answer()?;
     let given = |entry: &&&mallowring_standin::record::Entry| {
-        matches!(&entry.what,
+        matches!(&entry.observation,
         Observation::SetUpEnded { status: 200, description } if description == got)
     };
     if status == 200 && !call.entries.iter().any(|entry| given(&entry)) {
@@ -151,17 +152,17 @@
 /// itself, and the proxy ran.
 fn is_owed(call: &CallView, world: &World, from: f64, by: f64) -> bool {
     let stood = call.answer().is_some_and(|(at, status, _)| status == 200 && at <= from);
-    let hung_up = call.first(|what| *what == Observation::HungUp).is_some_and(|at| at <= by);
+    let hung_up = call.first(|observation| *observation == Observation::HungUp).is_some_and(|at| at <= by);
     let ended = world.end_of_proxy(call.proxy, call.requested).is_some_and(|end| end <= by);
     stood && !hung_up && !ended && world.caller_was_connected(call.proxy, from, by)
 }
 
 fn release_heard(call: &CallView) -> f64 {
-    call.first(|what| matches!(what, Observation::ReleaseHeard(_))).unwrap_or(f64::INFINITY)
+    call.first(|observation| matches!(observation, Observation::ReleaseHeard(_))).unwrap_or(f64::INFINITY)
 }
 
 fn release(call: &CallView, world: &World) -> Option<Breach> {
-    let sent = call.first(|what| *what == Observation::ReleaseSent)?;
+    let sent = call.first(|observation| *observation == Observation::ReleaseSent)?;
     let by = sent + RELEASE_WITHIN + SLACK;
     if release_heard(call) <= by || !is_owed(call, world, sent - CROSSING, by) {
         return None;
@@ -171,7 +172,7 @@
 }
 
 fn told(call: &CallView, world: &World) -> Option<Breach> {
-    let over = call.first(|what| *what == Observation::Over)?;
+    let over = call.first(|observation| *observation == Observation::Over)?;
     let by = over + TOLD_WITHIN + SLACK;
     if release_heard(call) <= by || !is_owed(call, world, over - CROSSING, by) {
         return None;
--- a/crates/soak/src/judge/fleet.rs
+++ b/crates/soak/src/judge/fleet.rs
@@ -15,7 +15,7 @@
     let mut breaches = Vec::new();
     for (ix, entry) in entries.iter().enumerate() {
         let later = &entries[ix + 1..];
-        let found = match &entry.what {
+        let found = match &entry.observation {
             Observation::ProxyEnded { clean } => crash(entry, *clean, world),
             Observation::ProxyStarted => ready(entry, later),
             Observation::Resources { memory_kb, descriptors } => {
@@ -46,7 +46,10 @@
     let mut of_it = later.iter().filter(|e| e.proxy == entry.proxy);
     let until = entry.at + READY_WITHIN;
     let end = of_it.find(|e| {
-        matches!(e.what, Observation::ProxyReady | Observation::Killed | Observation::ProxyEnded { .. })
+        matches!(
+            e.observation,
+            Observation::ProxyReady | Observation::Killed | Observation::ProxyEnded { .. }
+        )
     });
     let last = later.last().map_or(entry.at, |e| e.at);
     if end.map_or(last, |e| e.at) <= until {
@@ -79,12 +82,14 @@
 }
 
 fn cold(entry: &Entry, later: &[Entry], figures: &Figures) -> Option<Breach> {
-    let sent = later.iter().filter(|e| e.who == entry.who && matches!(e.what, Observation::SetUp { .. }));
+    let sent = later
+        .iter()
+        .filter(|e| e.observer == entry.observer && matches!(e.observation, Observation::SetUp { .. }));
     let sent: Vec<&Entry> = sent.take_while(|e| e.at - entry.at <= figures.warm_within).collect();
     let told_at = |proxy: usize| {
         let told = later.iter().filter(|e| e.proxy == proxy);
         let told = told.filter(
-            |e| matches!(&e.what, Observation::Told { exchange, ready: true } if *exchange == entry.who),
+            |e| matches!(&e.observation, Observation::Told { exchange, ready: true } if *exchange == entry.observer),
         );
         told.map(|e| e.at).reduce(f64::min)
     };
@@ -94,7 +99,7 @@
         let by_told = window.iter().filter(|e| told_at(e.proxy).is_some_and(|at| at <= e.at)).count() as f64;
         let n = window.len() as f64;
         if n > bears(last.at - entry.at, figures) && by_told > TOLD_SHARE * n {
-            let what = format!("{} was pushed over by {n} set-ups", entry.who);
+            let what = format!("{} was pushed over by {n} set-ups", entry.observer);
             return breach(COLD, entry, last.at, what);
         }
     }
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -138,8 +138,8 @@
 pub fn judge(entries: &[Entry], figures: &Figures) -> Verdict {
     let world = World::of(entries);
     let mut calls: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
-    for entry in entries.iter().filter(|entry| !entry.call.is_empty()) {
-        calls.entry(&entry.call).or_default().push(entry);
+    for entry in entries.iter().filter(|entry| !entry.call_id.is_empty()) {
+        calls.entry(&entry.call_id).or_default().push(entry);
     }
     let mut verdict = Verdict::default();
     for (id, entries) in calls {
--- a/crates/soak/src/judge/view.rs
+++ b/crates/soak/src/judge/view.rs
@@ -64,9 +64,9 @@
 impl<'a> CallView<'a> {
     /// The view of one call; `None` where no caller asked for it.
     pub fn of(id: &'a str, entries: Vec<&'a Entry>) -> Option<CallView<'a>> {
-        let request = |entry: &&&'a Entry| matches!(entry.what, Observation::Requested { .. });
+        let request = |entry: &&&'a Entry| matches!(entry.observation, Observation::Requested { .. });
         let last = entries.iter().rfind(request)?;
-        let Observation::Requested { deadline } = last.what else { return None };
+        let Observation::Requested { deadline } = last.observation else { return None };
         let (proxy, requested) = (last.proxy, last.at);
         let attempts = attempts(&entries);
         Some(CallView { id, proxy, entries, requested, deadline, attempts })
@@ -74,12 +74,12 @@
 
     /// When something was first seen.
     pub fn first(&self, wanted: impl Fn(&Observation) -> bool) -> Option<f64> {
-        self.entries.iter().find(|entry| wanted(&entry.what)).map(|entry| entry.at)
+        self.entries.iter().find(|entry| wanted(&entry.observation)).map(|entry| entry.at)
     }
 
     /// The first final answer: when, with what.
     pub fn answer(&self) -> Option<(f64, u16, &str)> {
-        self.entries.iter().find_map(|entry| match &entry.what {
+        self.entries.iter().find_map(|entry| match &entry.observation {
             Observation::Answered { status, description } => Some((entry.at, *status, description.as_str())),
             _ => None,
         })
@@ -89,9 +89,9 @@
 fn attempts(entries: &[&Entry]) -> Vec<Attempt> {
     let mut attempts: Vec<Attempt> = Vec::new();
     for entry in entries {
-        let end = match &entry.what {
+        let end = match &entry.observation {
             Observation::SetUp { .. } => {
-                let (exchange, at) = (entry.who.clone(), entry.at);
+                let (exchange, at) = (entry.observer.clone(), entry.at);
                 attempts.push(Attempt { exchange, at, end: None, pause: false });
                 continue;
             }
@@ -99,7 +99,7 @@
             Observation::SetUpCancelled => true,
             _ => continue,
         };
-        let open = attempts.iter_mut().rev().find(|a| a.exchange == entry.who && a.end.is_none());
+        let open = attempts.iter_mut().rev().find(|a| a.exchange == entry.observer && a.end.is_none());
         if let Some(attempt) = open {
             (attempt.end, attempt.pause) = (Some(entry.at), end);
         }
@@ -131,18 +131,18 @@
         let mut silent: BTreeMap<&str, f64> = BTreeMap::new();
         let end = entries.last().map_or(0.0, |entry| entry.at);
         for entry in entries {
-            let Entry { at, who, proxy, .. } = entry;
-            match &entry.what {
-                Observation::CallerConnected => drop(connected.insert((*proxy, who), *at)),
+            let Entry { at, observer, proxy, .. } = entry;
+            match &entry.observation {
+                Observation::CallerConnected => drop(connected.insert((*proxy, observer), *at)),
                 Observation::CallerDisconnected => {
-                    if let Some(from) = connected.remove(&(*proxy, who.as_str())) {
+                    if let Some(from) = connected.remove(&(*proxy, observer.as_str())) {
                         world.callers.entry(*proxy).or_default().push(Span { from, to: *at });
                     }
                 }
-                Observation::Silent => drop(silent.entry(who).or_insert(*at)),
+                Observation::Silent => drop(silent.entry(observer).or_insert(*at)),
                 Observation::Working => {
-                    if let Some(from) = silent.remove(who.as_str()) {
-                        world.silent.entry(who.clone()).or_default().push(Span { from, to: *at });
+                    if let Some(from) = silent.remove(observer.as_str()) {
+                        world.silent.entry(observer.clone()).or_default().push(Span { from, to: *at });
                     }
                 }
                 Observation::HeldUp(seconds) => world.held_up.push(Span { from: at - seconds, to: *at }),
@@ -165,8 +165,8 @@
         for ((proxy, _), from) in connected {
             world.callers.entry(proxy).or_default().push(Span { from, to: end });
         }
-        for (who, from) in silent {
-            world.silent.entry(who.to_owned()).or_default().push(Span { from, to: end });
+        for (observer, from) in silent {
+            world.silent.entry(observer.to_owned()).or_default().push(Span { from, to: end });
         }
         world
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -109,8 +109,14 @@
 /// One call's life over all processes, with the proxy's log lines of its id.
 pub fn life(played: &Played, proxy: usize, call: &str) -> String {
     let mut text = String::new();
-    for entry in played.entries.iter().filter(|entry| entry.call == call) {
-        let _ = writeln!(text, "    {:9.3} {:<12} {:?}", entry.at - played.began, entry.who, entry.what);
+    for entry in played.entries.iter().filter(|entry| entry.call_id == call) {
+        let _ = writeln!(
+            text,
+            "    {:9.3} {:<12} {:?}",
+            entry.at - played.began,
+            entry.observer,
+            entry.observation
+        );
     }
     let log = played.logs.get(proxy).map_or("", String::as_str);
     for line in log.lines().filter(|line| line.contains(call)) {
--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -152,12 +152,12 @@
         if self.over.get() {
             return;
         }
-        let standing = self.record.first(call, |what| {
-            matches!(what, mallowring_standin::record::Observation::Answered { status: 200, .. })
+        let standing = self.record.first_seen(call, |observation| {
+            matches!(observation, mallowring_standin::record::Observation::Answered { status: 200, .. })
+        });
+        let released = self.record.first_seen(call, |observation| {
+            matches!(observation, mallowring_standin::record::Observation::ReleaseHeard(_))
         });
-        let released = self
-            .record
-            .first(call, |what| matches!(what, mallowring_standin::record::Observation::ReleaseHeard(_)));
         if standing.is_none() || released.is_some() {
             return;
         }
--- a/crates/soak/src/trial/proxies.rs
+++ b/crates/soak/src/trial/proxies.rs
@@ -52,8 +52,8 @@
         Ok(ProxySlot { index, program, record, proxy, life, logs })
     }
 
-    fn note(&self, what: Observation) {
-        self.record.add("trial", self.index, "", what);
+    fn note(&self, observation: Observation) {
+        self.record.add("trial", self.index, "", observation);
     }
 
     /// Where callers connect.
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -21,16 +21,22 @@
     }
 }
 
-fn entry(at: f64, who: &str, call: &str, what: Observation) -> Entry {
-    Entry { at: 1000.0 + at, who: who.to_owned(), proxy: 0, call: call.to_owned(), what }
+fn entry(at: f64, observer: &str, call_id: &str, observation: Observation) -> Entry {
+    Entry {
+        at: 1000.0 + at,
+        observer: observer.to_owned(),
+        proxy: 0,
+        call_id: call_id.to_owned(),
+        observation,
+    }
 }
 
-fn caller(at: f64, what: Observation) -> Entry {
-    entry(at, "c", CALL, what)
+fn caller(at: f64, observation: Observation) -> Entry {
+    entry(at, "c", CALL, observation)
 }
 
-fn exchange(at: f64, what: Observation) -> Entry {
-    entry(at, "s1", CALL, what)
+fn exchange(at: f64, observation: Observation) -> Entry {
+    entry(at, "s1", CALL, observation)
 }
 
 fn requested() -> Entry {
@@ -93,7 +99,7 @@
 
 #[test]
 fn a_kill_excuses_what_came_early_and_an_end_excuses_nothing() {
-    let trial = |at, what| entry(at, "trial", "", what);
+    let trial = |at, observation| entry(at, "trial", "", observation);
     let ended = |request: f64, end: Observation| {
         vec![
             trial(-9.0, Observation::ProxyStarted),
@@ -117,10 +123,10 @@
 fn a_description_that_no_exchange_gave_and_one_that_was_changed() {
     let mut record = standing();
     keeps_all(record.clone());
-    record[4].what = Observation::Answered { status: 200, description: "another".to_owned() };
+    record[4].observation = Observation::Answered { status: 200, description: "another".to_owned() };
     breaks_alone("description", record);
     let mut record = standing();
-    record[2].what = Observation::SetUp { description: "another".to_owned() };
+    record[2].observation = Observation::SetUp { description: "another".to_owned() };
     breaks_alone("description", record);
 }
 
@@ -188,12 +194,12 @@
 
 /// A call that goes to an exchange which discovery had published as draining, so many seconds before.
 fn drained(published: f64, told: Option<f64>, back: Option<f64>) -> Vec<Entry> {
-    let gone = |what| entry(0.01 - published, "discovery", "", what);
+    let gone = |observation| entry(0.01 - published, "discovery", "", observation);
     let mut record = standing();
     record.push(gone(Observation::Published { exchange: "s1".to_owned(), ready: false }));
     if let Some(ago) = told {
-        let what = Observation::Told { exchange: "s1".to_owned(), ready: false };
-        record.push(entry(0.01 - ago, "discovery", "", what));
+        let observation = Observation::Told { exchange: "s1".to_owned(), ready: false };
+        record.push(entry(0.01 - ago, "discovery", "", observation));
     }
     if let Some(ago) = back {
         record.push(entry(0.01 - ago, "discovery", "", Observation::Reachable(true)));
@@ -283,7 +289,7 @@
 
 #[test]
 fn proxies_that_crash_start_late_or_hold_too_much() {
-    let trial = |at, what| entry(at, "trial", "", what);
+    let trial = |at, observation| entry(at, "trial", "", observation);
     let started = |more: Vec<Entry>| [vec![trial(0.0, Observation::ProxyStarted)], more].concat();
     keeps_all(started(vec![trial(10.0 - MS, Observation::ProxyReady)]));
     breaks_alone("ready in time", started(vec![trial(10.0 + MS, Observation::ProxyReady)]));
--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -74,8 +74,9 @@
         while caller.is_waiting_since(&set_up.call_id).is_some() && now() < until {
             sleep(0.0005).await;
         }
-        let stands = |what: &Observation| matches!(what, Observation::Answered { status: 200, .. });
-        stood += u64::from(record.last(&set_up.call_id, stands).is_some());
+        let stands =
+            |observation: &Observation| matches!(observation, Observation::Answered { status: 200, .. });
+        stood += u64::from(record.last_seen(&set_up.call_id, stands).is_some());
         let _ = caller.hang_up(&set_up.call_id).await;
     }
     stood
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    fn note(&self, what: Observation) {
-        self.0.record.add("discovery", self.0.proxy, "", what);
+    fn note(&self, observation: Observation) {
+        self.0.record.add("discovery", self.0.proxy, "", observation);
     }
 
     /// Listens at another address from now on; the old one is refused, and its connections end.
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -148,8 +148,8 @@
     /// All calls and set-ups end with the process that held them.
     pub(super) fn cut_calls(&self) {
         for (id, call) in std::mem::take(&mut *self.0.calls.borrow_mut()) {
-            let what = if call.stands { Observation::Over } else { Observation::SetUpCancelled };
-            self.note_call(call.port, &id, what);
+            let observation = if call.stands { Observation::Over } else { Observation::SetUpCancelled };
+            self.note_call(call.port, &id, observation);
         }
         for port in &self.0.ports {
             port.circuits_used.set(0);
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -187,12 +187,12 @@
     }
 
     /// Notes something that is of no single call or proxy.
-    fn note(&self, what: Observation) {
-        self.0.record.add(&self.0.name, 0, "", what);
+    fn note(&self, observation: Observation) {
+        self.0.record.add(&self.0.name, 0, "", observation);
     }
 
-    fn note_call(&self, proxy: usize, call: &str, what: Observation) {
-        self.0.record.add(&self.0.name, proxy, call, what);
+    fn note_call(&self, proxy: usize, call: &str, observation: Observation) {
+        self.0.record.add(&self.0.name, proxy, call, observation);
     }
 
     fn accept_on_all_ports(&self) {
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -106,13 +106,13 @@
     /// When, in seconds of Unix time.
     pub at: f64,
     /// Who saw it: an exchange, a caller, discovery, the trial.
-    pub who: String,
+    pub observer: String,
     /// Which proxy it is about, from 0.
     pub proxy: usize,
     /// Of which call; empty where it is of none.
-    pub call: String,
+    pub call_id: String,
     /// What was seen.
-    pub what: Observation,
+    pub observation: Observation,
 }
 
 /// The record of one trial; its copies are the same record.
@@ -121,8 +121,14 @@
 
 impl Record {
     /// Adds what somebody sees now.
-    pub fn add(&self, who: &str, proxy: usize, call: &str, what: Observation) {
-        let entry = Entry { at: now(), who: who.to_owned(), proxy, call: call.to_owned(), what };
+    pub fn add(&self, observer: &str, proxy: usize, call_id: &str, observation: Observation) {
+        let entry = Entry {
+            at: now(),
+            observer: observer.to_owned(),
+            proxy,
+            call_id: call_id.to_owned(),
+            observation,
+        };
         self.0.borrow_mut().push(entry);
     }
 
@@ -132,12 +138,12 @@
     }
 
     /// When something was last seen of a call; quicker than [`Record::first`] for what is new.
-    pub fn last(&self, call: &str, wanted: impl Fn(&Observation) -> bool) -> Option<f64> {
-        self.0.borrow().iter().rev().find(|e| e.call == call && wanted(&e.what)).map(|e| e.at)
+    pub fn last_seen(&self, call_id: &str, wanted: impl Fn(&Observation) -> bool) -> Option<f64> {
+        self.0.borrow().iter().rev().find(|e| e.call_id == call_id && wanted(&e.observation)).map(|e| e.at)
     }
 
     /// When something was first seen of a call.
-    pub fn first(&self, call: &str, wanted: impl Fn(&Observation) -> bool) -> Option<f64> {
-        self.0.borrow().iter().find(|e| e.call == call && wanted(&e.what)).map(|e| e.at)
+    pub fn first_seen(&self, call_id: &str, wanted: impl Fn(&Observation) -> bool) -> Option<f64> {
+        self.0.borrow().iter().find(|e| e.call_id == call_id && wanted(&e.observation)).map(|e| e.at)
     }
 }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -73,7 +73,9 @@
         while self.answered(call).is_none() && now() < until {
             sleep(0.005).await;
         }
-        self.record.first(call, |what| matches!(what, Observation::Answered { status: 200, .. })).is_some()
+        self.record
+            .first_seen(call, |observation| matches!(observation, Observation::Answered { status: 200, .. }))
+            .is_some()
     }
 
     /// Sets calls up to an exchange, one after another, and waits until all stand.
@@ -86,12 +88,12 @@
 
     /// When a call had its final answer.
     pub fn answered(&self, call: &str) -> Option<f64> {
-        self.record.first(call, |what| matches!(what, Observation::Answered { .. }))
+        self.record.first_seen(call, |observation| matches!(observation, Observation::Answered { .. }))
     }
 
     /// When a call was released to its caller.
     pub fn released(&self, call: &str) -> Option<f64> {
-        self.record.first(call, |what| matches!(what, Observation::ReleaseHeard(_)))
+        self.record.first_seen(call, |observation| matches!(observation, Observation::ReleaseHeard(_)))
     }
 
     /// Waits until all calls are released to their callers or the time is over; returns those that are not.
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -100,12 +100,12 @@
         let caller = scene.caller("c").await;
         let calls = ids(1, 1);
         scene.stand(&caller, 1, &calls, 12_000).await;
-        let ended = |what: &Observation| *what == Observation::Over;
+        let ended = |observation: &Observation| *observation == Observation::Over;
         let until = now() + 13.0;
-        while scene.record.first(&calls[0], ended).is_none() && now() < until {
+        while scene.record.first_seen(&calls[0], ended).is_none() && now() < until {
             sleep(0.01).await;
         }
-        let over = scene.record.first(&calls[0], ended).expect("it ends");
+        let over = scene.record.first_seen(&calls[0], ended).expect("it ends");
         sleep(1.05).await;
         let told = scene.released(&calls[0]).unwrap_or(f64::INFINITY);
         assert!(
@@ -163,7 +163,7 @@
         sleep(0.2).await;
         assert!(scene
             .record
-            .first(&late.call_id, |w| matches!(w, Observation::Answered { status: 503, .. }))
+            .first_seen(&late.call_id, |w| matches!(w, Observation::Answered { status: 503, .. }))
             .is_some());
         let open = scene.not_released_by(&calls, now() + 3.0).await;
         assert!(open.is_empty(), "{}", scene.proxy.log());
