--- a/crates/soak/src/trial/faults.rs
+++ b/crates/soak/src/trial/faults.rs
@@ -70,8 +70,8 @@
             crate::fault::Target::Exchange => vec![&exchanges[fault.target]],
             _ => exchanges.iter().collect(),
         };
-        let open = hit.iter().any(|e| e.open() > 0);
-        let standing = hit.iter().any(|e| e.standing() > 0);
+        let open = hit.iter().any(|e| e.pending_set_ups() > 0);
+        let standing = hit.iter().any(|e| e.established_calls() > 0);
         let releasing = hit.iter().any(|e| e.released_within(0.2));
         let mut coverage = self.coverage.borrow_mut();
         let met = [(open, State::SetUpOut), (standing, State::Standing), (releasing, State::InRelease)];
@@ -110,7 +110,7 @@
                 self.succeed(fault.target, &exchange);
             }
             Kind::Die => {
-                exchange.die();
+                exchange.crash();
                 sleep(fault.lasts).await;
                 self.same_again(&exchange).await;
             }
@@ -122,7 +122,7 @@
             _ => {
                 let started = unix_ms();
                 exchange.restart_at_once();
-                exchange.note_cold_start();
+                exchange.record_cold_start();
                 sleep(NEWS_DELAY).await;
                 self.publish(&[(exchange, Lifecycle::Ready, started)]);
             }
@@ -138,7 +138,7 @@
         let Ok(new) = Exchange::start(&self.tasks, &self.record, &name, old.number(), proxies) else {
             return;
         };
-        new.note_cold_start();
+        new.record_cold_start();
         self.publish(&[(old.clone(), Lifecycle::Gone, 0), (new.clone(), Lifecycle::Ready, unix_ms())]);
         self.exchanges.borrow_mut()[ix] = new;
     }
@@ -147,7 +147,7 @@
     async fn same_again(&self, exchange: &Exchange) {
         let started = unix_ms();
         if exchange.replace().await.is_ok() {
-            exchange.note_cold_start();
+            exchange.record_cold_start();
             sleep(NEWS_DELAY).await;
             self.publish(&[(exchange.clone(), Lifecycle::Ready, started)]);
         }
@@ -156,16 +156,16 @@
     async fn misbehave(&self, fault: &PlannedFault) {
         let exchange = self.exchanges.borrow()[fault.target].clone();
         let calm = Misbehaviour::default();
-        exchange.misbehave(match fault.kind {
-            Kind::AnswersLate => Misbehaviour { answers_late: self.plan.give_up * 0.7, ..calm },
-            Kind::AnswersTwice => Misbehaviour { answers_twice: true, ..calm },
-            Kind::AnswersSpoilt => Misbehaviour { answers_spoilt: true, ..calm },
-            Kind::Pieces => Misbehaviour { in_pieces: true, ..calm },
-            Kind::AcceptsLate => Misbehaviour { accepts_late: 0.8, ..calm },
-            _ => Misbehaviour { releases_elsewhere: true, ..calm },
+        exchange.set_misbehaviour(match fault.kind {
+            Kind::AnswersLate => Misbehaviour { answer_delay: self.plan.give_up * 0.7, ..calm },
+            Kind::AnswersTwice => Misbehaviour { duplicate_answers: true, ..calm },
+            Kind::AnswersSpoilt => Misbehaviour { malformed_answers: true, ..calm },
+            Kind::Pieces => Misbehaviour { fragmented_writes: true, ..calm },
+            Kind::AcceptsLate => Misbehaviour { accept_delay: 0.8, ..calm },
+            _ => Misbehaviour { releases_on_other_connection: true, ..calm },
         });
         sleep(fault.lasts).await;
-        exchange.misbehave(calm);
+        exchange.set_misbehaviour(calm);
     }
 
     fn spoil_connections(&self, fault: &PlannedFault) {
@@ -189,7 +189,7 @@
         sleep(fault.lasts).await;
         for discovery in &self.discoveries {
             // Its address may be taken for a moment more.
-            while discovery.come_back().is_err() {
+            while discovery.recover().is_err() {
                 sleep(0.01).await;
             }
         }
@@ -197,7 +197,7 @@
 
     async fn move_discovery(&self) {
         for (slot, discovery) in self.proxies.iter().zip(&self.discoveries) {
-            if discovery.move_on().is_ok() {
+            if discovery.change_address().is_ok() {
                 slot.configure(discovery).await;
             }
         }
--- a/crates/soak/src/trial/mod.rs
+++ b/crates/soak/src/trial/mod.rs
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 
 use callers::Pool;
-use mallowring_standin::discovery::{Discovery, Lifecycle, Listed};
+use mallowring_standin::discovery::{Discovery, Lifecycle, RosterEntry};
 use mallowring_standin::exchange::Exchange;
-use mallowring_standin::proxy::Setup;
+use mallowring_standin::proxy::ProxyConfig;
 use mallowring_standin::record::{now, Entry, Record};
 use mallowring_standin::{run, sleep, Executor};
 use proxies::ProxySlot;
@@ -99,9 +99,10 @@
         }
         let (mut discoveries, mut proxies) = (Vec::new(), Vec::new());
         for proxy in 0..plan.proxies {
-            let whole: Vec<Listed> = exchanges.iter().map(|e| line(e, proxy, Lifecycle::Ready, 0)).collect();
+            let whole: Vec<RosterEntry> =
+                exchanges.iter().map(|e| line(e, proxy, Lifecycle::Ready, 0)).collect();
             let discovery = Discovery::start(&tasks, &record, proxy, &whole)?;
-            let mut setup = Setup::new(&format!("n{proxy}"), proxy as i64, plan.proxies);
+            let mut setup = ProxyConfig::new(&format!("n{proxy}"), proxy as i64, plan.proxies);
             setup.give_up = plan.give_up;
             setup.limits = (plan.memory_mb, plan.descriptors);
             proxies.push(ProxySlot::start(&program, setup, &discovery, proxy, &record)?);
@@ -159,15 +160,15 @@
     /// Tells all proxies' discoveries of changes.
     fn publish(&self, lines: &[(Exchange, Lifecycle, u64)]) {
         for (proxy, discovery) in self.discoveries.iter().enumerate() {
-            let listed: Vec<Listed> =
+            let listed: Vec<RosterEntry> =
                 lines.iter().map(|(exchange, cycle, at)| line(exchange, proxy, *cycle, *at)).collect();
             discovery.publish(false, &listed);
         }
     }
 }
 
-fn line(exchange: &Exchange, proxy: usize, lifecycle: Lifecycle, started_at_ms: u64) -> Listed {
-    Listed {
+fn line(exchange: &Exchange, proxy: usize, lifecycle: Lifecycle, started_at_ms: u64) -> RosterEntry {
+    RosterEntry {
         id: exchange.name().to_owned(),
         number: exchange.number(),
         addr: exchange.addr(proxy),
--- a/crates/soak/src/trial/proxies.rs
+++ b/crates/soak/src/trial/proxies.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use mallowring_standin::discovery::Discovery;
-use mallowring_standin::proxy::{Proxy, Setup};
+use mallowring_standin::proxy::{Proxy, ProxyConfig};
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::sleep;
 use rustix::process::Signal;
@@ -40,7 +40,7 @@
     /// Starts the first process.
     pub fn start(
         program: &Path,
-        setup: Setup,
+        setup: ProxyConfig,
         discovery: &Discovery,
         index: usize,
         record: &Record,
@@ -79,15 +79,15 @@
     }
 
     /// Nanoseconds for which its process has waited for a processor.
-    pub fn run_delay(&self) -> u64 {
-        self.proxy.borrow().run_delay()
+    pub fn scheduling_delay_ns(&self) -> u64 {
+        self.proxy.borrow().scheduling_delay_ns()
     }
 
     /// Waits until it passes a test.
     pub async fn wait_until_ready(&self, seconds: f64) {
         let (until, listen) = (now() + seconds, self.listen());
         while now() < until {
-            if Proxy::passes_a_test(listen).await.unwrap_or(false) {
+            if Proxy::answers_options(listen).await.unwrap_or(false) {
                 self.note(Observation::ProxyReady);
                 return self.life.set(Life::Running);
             }
@@ -98,7 +98,7 @@
     /// Notes an end that nobody asked for.
     pub fn look(&self) {
         if self.life.get() == Life::Running {
-            if let Some(clean) = self.proxy.borrow_mut().ended() {
+            if let Some(clean) = self.proxy.borrow_mut().try_exit_success() {
                 self.note(Observation::ProxyEnded { clean });
                 self.life.set(Life::Away);
             }
@@ -115,7 +115,7 @@
         self.note(Observation::Terminated);
         self.proxy.borrow().signal(Signal::TERM);
         loop {
-            if let Some(clean) = self.proxy.borrow_mut().ended() {
+            if let Some(clean) = self.proxy.borrow_mut().try_exit_success() {
                 self.note(Observation::ProxyEnded { clean });
                 break;
             }
@@ -125,14 +125,14 @@
             }
             sleep(LOOK).await;
         }
-        self.start_again(discovery).await;
+        self.restart(discovery).await;
     }
 
     /// SIGKILL without a word; then another process.
     pub async fn kill(&self, discovery: &Discovery) {
         if self.life.get() == Life::Running {
             self.kill_now().await;
-            self.start_again(discovery).await;
+            self.restart(discovery).await;
         }
     }
 
@@ -140,17 +140,17 @@
         self.note(Observation::Killed);
         self.life.set(Life::Away);
         self.proxy.borrow().signal(Signal::KILL);
-        while self.proxy.borrow_mut().ended().is_none() {
+        while self.proxy.borrow_mut().try_exit_success().is_none() {
             sleep(LOOK).await;
         }
     }
 
-    async fn start_again(&self, discovery: &Discovery) {
+    async fn restart(&self, discovery: &Discovery) {
         self.life.set(Life::Away);
         let log = self.proxy.borrow().log();
         self.logs.borrow_mut().push_str(&log);
         self.note(Observation::ProxyStarted);
-        let started = self.proxy.borrow_mut().start_again(&self.program, discovery);
+        let started = self.proxy.borrow_mut().restart(&self.program, discovery);
         if started.is_ok() {
             self.wait_until_ready(20.0).await;
         }
@@ -158,13 +158,13 @@
 
     /// A bad configuration and a good one, read one after the other.
     pub async fn configure(&self, discovery: &Discovery) {
-        let written = self.proxy.borrow().configure_badly();
+        let written = self.proxy.borrow().write_invalid_config();
         if written.is_ok() && self.life.get() == Life::Running {
             self.proxy.borrow().signal(Signal::HUP);
         }
         sleep(0.05).await;
         for _ in 0..2 {
-            let written = self.proxy.borrow().configure(discovery);
+            let written = self.proxy.borrow().write_config(discovery);
             if written.is_ok() && self.life.get() == Life::Running {
                 self.proxy.borrow().signal(Signal::HUP);
             }
--- a/crates/soak/src/trial/watch.rs
+++ b/crates/soak/src/trial/watch.rs
@@ -43,7 +43,7 @@
                 self.record.add("trial", proxy, "", Observation::Resources { memory_kb, descriptors });
             }
             // A proxy that waited for a processor is no slower than its machine.
-            let delay = slot.run_delay();
+            let delay = slot.scheduling_delay_ns();
             let waited = delay.saturating_sub(delays[proxy]) as f64 / 1e9;
             if delays[proxy] > 0 && waited > HELD_UP {
                 self.record.add("trial", proxy, "", Observation::HeldUp(TICK * SAMPLE as f64));
--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 
 use mallowring_standin::caller::Caller;
-use mallowring_standin::discovery::{Discovery, Lifecycle, Listed};
+use mallowring_standin::discovery::{Discovery, Lifecycle, RosterEntry};
 use mallowring_standin::exchange::Exchange;
 use mallowring_standin::messages::{CallScript, SetUp};
-use mallowring_standin::proxy::{Proxy, Setup};
+use mallowring_standin::proxy::{Proxy, ProxyConfig};
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::{run, sleep, Executor};
 
@@ -23,16 +23,16 @@
     for n in 1..=number {
         exchanges.push(Exchange::start(&tasks, &record, &format!("s-{n}"), n, 1)?);
     }
-    let listed = |e: &Exchange| Listed {
+    let listed = |e: &Exchange| RosterEntry {
         id: e.name().to_owned(),
         number: e.number(),
         addr: e.addr(0),
         lifecycle: Lifecycle::Ready,
         started_at_ms: 0,
     };
-    let whole: Vec<Listed> = exchanges.iter().map(listed).collect();
+    let whole: Vec<RosterEntry> = exchanges.iter().map(listed).collect();
     let discovery = Discovery::start(&tasks, &record, 0, &whole)?;
-    let setup = Setup { limits, ..Setup::new("n0", 0, 2) };
+    let setup = ProxyConfig { limits, ..ProxyConfig::new("n0", 0, 2) };
     let proxy = Proxy::start(program, &setup, &discovery)?;
     proxy.is_ready_within(20.0).await;
     sleep(1.0).await;
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -39,7 +39,7 @@
 
 /// One line of the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct RosterEntry {
     /// The id of the exchange.
     pub id: String,
     /// Its number.
@@ -52,7 +52,7 @@
     pub started_at_ms: u64,
 }
 
-impl Listed {
+impl RosterEntry {
     fn json(&self) -> Value {
         json!({"instanceId": self.id, "hostPort": self.addr.to_string(), "zone": "z", "machineType": "m",
             "cell": self.number, "lifecycle": self.lifecycle.word(), "weight": 1,
@@ -77,7 +77,7 @@
     addr: Cell<SocketAddr>,
     listener: RefCell<Option<TcpListener>>,
     condition: Cell<Condition>,
-    events: RefCell<Vec<(Value, Vec<Listed>)>>,
+    events: RefCell<Vec<(Value, Vec<RosterEntry>)>>,
     /// Counts the addresses that it has had; whoever listens at an older one ends.
     moves: Cell<u64>,
 }
@@ -88,7 +88,12 @@
 
 impl Discovery {
     /// Starts with the whole list as its first event.
-    pub fn start(tasks: &Executor, record: &Record, proxy: usize, whole: &[Listed]) -> io::Result<Discovery> {
+    pub fn start(
+        tasks: &Executor,
+        record: &Record,
+        proxy: usize,
+        whole: &[RosterEntry],
+    ) -> io::Result<Discovery> {
         let listener = listener::bind(([127, 0, 0, 1], 0).into())?;
         let inner = Inner {
             tasks: tasks.clone(),
@@ -112,17 +117,17 @@
     }
 
     /// The events so far, in the form of the configuration's `known`.
-    pub fn known(&self) -> Value {
+    pub fn events_json(&self) -> Value {
         let events = self.0.events.borrow();
         let items: Vec<&Value> = events.iter().map(|(event, _)| event).collect();
         json!({"no": events.len(), "items": items})
     }
 
     /// Adds an event: the whole list, or what has changed.
-    pub fn publish(&self, whole: bool, listed: &[Listed]) {
+    pub fn publish(&self, whole: bool, listed: &[RosterEntry]) {
         let mut events = self.0.events.borrow_mut();
         let no = events.len() + 1;
-        let instances: Vec<Value> = listed.iter().map(Listed::json).collect();
+        let instances: Vec<Value> = listed.iter().map(RosterEntry::json).collect();
         let event = json!({"no": no, "roster": {"generation": no, "reset": whole, "instances": instances}});
         events.push((event, listed.to_vec()));
         for line in listed {
@@ -136,7 +141,7 @@
     }
 
     /// Listens at another address from now on; the old one is refused, and its connections end.
-    pub fn move_on(&self) -> io::Result<()> {
+    pub fn change_address(&self) -> io::Result<()> {
         let listener = listener::bind(([127, 0, 0, 1], 0).into())?;
         self.0.addr.set(listener.local_addr()?);
         self.0.moves.set(self.0.moves.get() + 1);
@@ -161,7 +166,7 @@
     }
 
     /// It works again.
-    pub fn come_back(&self) -> io::Result<()> {
+    pub fn recover(&self) -> io::Result<()> {
         if self.0.listener.borrow().is_none() {
             let listener = listener::bind(self.0.addr.get())?;
             *self.0.listener.borrow_mut() = Some(listener);
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -56,7 +56,7 @@
             self.forget(&id);
             return self.write(ix, connection, &Message::response(500, "No Script", &set_up.headers));
         };
-        let late = self.0.misbehaviour.get().answers_late;
+        let late = self.0.misbehaviour.get().answer_delay;
         sleep(script.answer_ms as f64 / 1000.0 + late).await;
         self.works(process).await;
         match self.0.calls.borrow_mut().get_mut(&id) {
@@ -80,12 +80,12 @@
 
     fn answer(&self, ix: usize, connection: u64, answer: &Message) {
         let wrong = self.0.misbehaviour.get();
-        if wrong.answers_spoilt {
+        if wrong.malformed_answers {
             let spoilt = b"SIP/2.0 2x0 OK\r\nCall-ID: ?\r\nContent-Length: 0\r\n\r\n";
             return self.write_bytes(ix, connection, spoilt.to_vec());
         }
         self.write(ix, connection, answer);
-        if wrong.answers_twice {
+        if wrong.duplicate_answers {
             let (exchange, answer) = (self.clone(), answer.clone());
             let again = async move {
                 sleep(SECOND_COPY).await;
@@ -100,7 +100,7 @@
         self.0.released_at.set(now());
         let port = &self.0.ports[call.port];
         let message = messages::release_request(id, 16);
-        let elsewhere = self.0.misbehaviour.get().releases_elsewhere;
+        let elsewhere = self.0.misbehaviour.get().releases_on_other_connection;
         let on = {
             let open = port.connections.borrow();
             let own = open.contains_key(&call.connection) && !elsewhere;
--- a/crates/standin/src/exchange/faults.rs
+++ b/crates/standin/src/exchange/faults.rs
@@ -18,17 +18,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Misbehaviour {
     /// Answers come so many seconds later.
-    pub answers_late: f64,
+    pub answer_delay: f64,
     /// Every answer is said twice, the second some milliseconds later.
-    pub answers_twice: bool,
+    pub duplicate_answers: bool,
     /// Every answer is spoilt: it can't be read.
-    pub answers_spoilt: bool,
+    pub malformed_answers: bool,
     /// Everything is written in pieces, with pauses between.
-    pub in_pieces: bool,
+    pub fragmented_writes: bool,
     /// New connections are served so many seconds late.
-    pub accepts_late: f64,
+    pub accept_delay: f64,
     /// Releases go on another connection than their set-up's.
-    pub releases_elsewhere: bool,
+    pub releases_on_other_connection: bool,
 }
 
 /// Closes a connection so that the other end sees a reset; the tasks that hold it end by themselves.
@@ -40,7 +40,7 @@
 
 impl Exchange {
     /// What it does wrong from now on.
-    pub fn misbehave(&self, misbehaviour: Misbehaviour) {
+    pub fn set_misbehaviour(&self, misbehaviour: Misbehaviour) {
         self.0.misbehaviour.set(misbehaviour);
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// The process dies: its connections are reset, its calls are cut, new connections are refused.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.0.condition.set(Condition::Dead);
         self.note(Observation::Working);
         self.end_process(reset);
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -167,7 +167,7 @@
     }
 
     /// The calls that stand.
-    pub fn standing(&self) -> usize {
+    pub fn established_calls(&self) -> usize {
         self.0.calls.borrow().values().filter(|call| call.stands).count()
     }
 
@@ -177,12 +177,12 @@
     }
 
     /// Set-ups that are open.
-    pub fn open(&self) -> usize {
+    pub fn pending_set_ups(&self) -> usize {
         self.0.calls.borrow().values().filter(|call| !call.stands).count()
     }
 
     /// Its process has just been started and is cold.
-    pub fn note_cold_start(&self) {
+    pub fn record_cold_start(&self) {
         self.note(Observation::StartedCold);
     }
 
@@ -232,7 +232,7 @@
 
     async fn serve(&self, ix: usize, stream: TcpStream, process: u64) {
         let _ = stream.set_nodelay(true);
-        sleep(self.0.misbehaviour.get().accepts_late).await;
+        sleep(self.0.misbehaviour.get().accept_delay).await;
         self.works(process).await;
         if self.0.process.get() != process {
             return;
@@ -272,7 +272,7 @@
 
     async fn write_all(&self, connection: u64, mut stream: TcpStream, queue: Receiver<Vec<u8>>) {
         while let Ok(bytes) = queue.recv().await {
-            let piece = if self.0.misbehaviour.get().in_pieces { PIECE } else { bytes.len().max(1) };
+            let piece = if self.0.misbehaviour.get().fragmented_writes { PIECE } else { bytes.len().max(1) };
             for bytes in bytes.chunks(piece) {
                 if self.0.silenced.borrow().contains(&connection) || stream.write_all(bytes).await.is_err() {
                     return;
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -27,7 +27,7 @@
 
 /// What a proxy is told at its start.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ProxyConfig {
     /// Its name.
     pub name: String,
     /// The number of its own exchange.
@@ -40,10 +40,10 @@
     pub limits: (u64, u64),
 }
 
-impl Setup {
+impl ProxyConfig {
     /// An ordinary proxy of a small deployment.
-    pub fn new(name: &str, own_number: i64, proxies: usize) -> Setup {
-        Setup { name: name.to_owned(), own_number, proxies, give_up: 3.0, limits: (192, 1024) }
+    pub fn new(name: &str, own_number: i64, proxies: usize) -> ProxyConfig {
+        ProxyConfig { name: name.to_owned(), own_number, proxies, give_up: 3.0, limits: (192, 1024) }
     }
 
     fn json(&self, listen: SocketAddr, discovery: &Discovery) -> Value {
@@ -53,7 +53,7 @@
         };
         json!({"name": self.name, "listen": listen.to_string(), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": self.limits.0, "sockets": self.limits.1},
-            "bulletin": discovery.addr().to_string(), "known": discovery.known(),
+            "bulletin": discovery.addr().to_string(), "known": discovery.events_json(),
             "settings": {"classes": [class("voice", 1.0), class("alarm", 8.0)], "discovery": "pushed",
                 "n_instances": self.proxies,
                 "extra": {"release": 0.3, "self_no": self.own_number, "class_width": [1, 1],
@@ -68,7 +68,7 @@
 
 /// A running proxy. Dropped, it is killed.
 pub struct Proxy {
-    setup: Setup,
+    setup: ProxyConfig,
     /// Where it listens for callers.
     pub listen: SocketAddr,
     folder: PathBuf,
@@ -86,7 +86,7 @@
 
 impl Proxy {
     /// Starts the program.
-    pub fn start(program: &Path, setup: &Setup, discovery: &Discovery) -> io::Result<Proxy> {
+    pub fn start(program: &Path, setup: &ProxyConfig, discovery: &Discovery) -> io::Result<Proxy> {
         let listen = own_address();
         let folder = std::env::temp_dir().join(format!(
             "mallowring-{}-{}-{}",
@@ -108,7 +108,7 @@
     pub async fn is_ready_within(&self, seconds: f64) -> bool {
         let until = now() + seconds;
         while now() < until {
-            if Proxy::passes_a_test(self.listen).await.unwrap_or(false) {
+            if Proxy::answers_options(self.listen).await.unwrap_or(false) {
                 return true;
             }
             sleep(LOOK).await;
@@ -117,7 +117,7 @@
     }
 
     /// Whether the proxy at an address passes a test.
-    pub async fn passes_a_test(listen: SocketAddr) -> io::Result<bool> {
+    pub async fn answers_options(listen: SocketAddr) -> io::Result<bool> {
         let test = async {
             let mut stream = TcpStream::connect(listen).await?;
             messages::send(&mut stream, &messages::options_request()).await?;
@@ -139,35 +139,35 @@
     }
 
     /// Puts another configuration in place of the one it was started with; it is read on SIGHUP.
-    pub fn configure(&self, discovery: &Discovery) -> io::Result<()> {
+    pub fn write_config(&self, discovery: &Discovery) -> io::Result<()> {
         std::fs::write(self.folder.join("config.json"), self.setup.json(self.listen, discovery).to_string())
     }
 
     /// Whether it has ended, and then with success.
-    pub fn ended(&mut self) -> Option<bool> {
+    pub fn try_exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
     /// Starts the program again under its name and address, once it has ended.
-    pub fn start_again(&mut self, program: &Path, discovery: &Discovery) -> io::Result<()> {
+    pub fn restart(&mut self, program: &Path, discovery: &Discovery) -> io::Result<()> {
         forget(self.child.id());
         self.child = spawn(program, &self.setup, self.listen, &self.folder, discovery)?;
         Ok(())
     }
 
     /// Puts a configuration that can't be read in place of its own.
-    pub fn configure_badly(&self) -> io::Result<()> {
+    pub fn write_invalid_config(&self) -> io::Result<()> {
         std::fs::write(self.folder.join("config.json"), "{\"listen\": 7")
     }
 
     /// Nanoseconds for which its main thread has waited for a processor (`/proc/PID/schedstat`).
-    pub fn run_delay(&self) -> u64 {
+    pub fn scheduling_delay_ns(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.id())).unwrap_or_default();
         stat.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 
     /// Waits for its end; `None` if it runs on.
-    pub async fn ended_within(&mut self, seconds: f64) -> Option<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, seconds: f64) -> Option<ExitStatus> {
         let until = now() + seconds;
         loop {
             match self.child.try_wait() {
@@ -209,7 +209,7 @@
 
 fn spawn(
     program: &Path,
-    setup: &Setup,
+    setup: &ProxyConfig,
     listen: SocketAddr,
     folder: &Path,
     discovery: &Discovery,
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,10 +4,10 @@
 mod scene;
 
 use mallowring_standin::caller::Caller;
-use mallowring_standin::discovery::{Lifecycle, Listed};
+use mallowring_standin::discovery::{Lifecycle, RosterEntry};
 use mallowring_standin::exchange::Exchange;
 use mallowring_standin::messages;
-use mallowring_standin::proxy::Setup;
+use mallowring_standin::proxy::ProxyConfig;
 use mallowring_standin::record::now;
 use mallowring_standin::{run, sleep};
 use scene::{ids, listed, Scene};
@@ -19,8 +19,8 @@
 /// Of 256 descriptors.
 const MOST_DESCRIPTORS: usize = 240;
 
-fn tight() -> Setup {
-    Setup { limits: (32, 256), ..Setup::new("n0", 0, 2) }
+fn tight() -> ProxyConfig {
+    ProxyConfig { limits: (32, 256), ..ProxyConfig::new("n0", 0, 2) }
 }
 
 /// Guards against mailboxes that cost what they could hold: an idle exchange took 600 kB, and 60 of them 45 MB.
@@ -215,7 +215,7 @@
         // Nobody listens there.
         let nowhere =
             std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-        let line = |id: usize, lifecycle| Listed {
+        let line = |id: usize, lifecycle| RosterEntry {
             id: format!("passing-{id}"),
             number: 10 + (id % 20) as i64,
             addr: nowhere,
@@ -225,7 +225,7 @@
         let mut samples = Vec::new();
         for round in 0..4 {
             for id in round * ROUND..(round + 1) * ROUND {
-                let gone: Vec<Listed> =
+                let gone: Vec<RosterEntry> =
                     id.checked_sub(20).map(|old| line(old, Lifecycle::Gone)).into_iter().collect();
                 scene.discovery.publish(false, &[gone, vec![line(id, Lifecycle::Ready)]].concat());
                 sleep(0.002).await;
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 
 use mallowring_standin::caller::Caller;
-use mallowring_standin::discovery::{Discovery, Lifecycle, Listed};
+use mallowring_standin::discovery::{Discovery, Lifecycle, RosterEntry};
 use mallowring_standin::exchange::Exchange;
 use mallowring_standin::messages::{CallScript, SetUp};
-use mallowring_standin::proxy::{Proxy, Setup};
+use mallowring_standin::proxy::{Proxy, ProxyConfig};
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::{sleep, Executor};
 
@@ -21,8 +21,8 @@
 }
 
 /// An exchange's line on the list.
-pub fn listed(exchange: &Exchange, lifecycle: Lifecycle) -> Listed {
-    Listed {
+pub fn listed(exchange: &Exchange, lifecycle: Lifecycle) -> RosterEntry {
+    RosterEntry {
         id: exchange.name().to_owned(),
         number: exchange.number(),
         addr: exchange.addr(0),
@@ -39,16 +39,16 @@
 impl Scene {
     /// So many exchanges, and a proxy without tight limits.
     pub async fn start(tasks: Executor, exchanges: i64) -> Scene {
-        Scene::with(tasks, exchanges, Setup::new("n0", 0, 2)).await
+        Scene::with(tasks, exchanges, ProxyConfig::new("n0", 0, 2)).await
     }
 
     /// So many exchanges, and a proxy of this setup that is ready.
-    pub async fn with(tasks: Executor, exchanges: i64, setup: Setup) -> Scene {
+    pub async fn with(tasks: Executor, exchanges: i64, setup: ProxyConfig) -> Scene {
         let record = Record::default();
         let start =
             |number| Exchange::start(&tasks, &record, &format!("s-{number}"), number, 1).expect("sockets");
         let exchanges: Vec<Exchange> = (1..=exchanges).map(start).collect();
-        let whole: Vec<Listed> = exchanges.iter().map(|e| listed(e, Lifecycle::Ready)).collect();
+        let whole: Vec<RosterEntry> = exchanges.iter().map(|e| listed(e, Lifecycle::Ready)).collect();
         let discovery = Discovery::start(&tasks, &record, 0, &whole).expect("a socket");
         let program = Path::new(env!("CARGO_BIN_EXE_mallowring"));
         let proxy = Proxy::start(program, &setup, &discovery).expect("it starts");
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -49,10 +49,10 @@
         // It comes back with them: it is told that they are over.
         scene.exchanges[0].resume();
         let until = now() + 3.0;
-        while scene.exchanges[0].standing() > 0 && now() < until {
+        while scene.exchanges[0].established_calls() > 0 && now() < until {
             sleep(0.01).await;
         }
-        assert_eq!(scene.exchanges[0].standing(), 0, "{}", scene.proxy.log());
+        assert_eq!(scene.exchanges[0].established_calls(), 0, "{}", scene.proxy.log());
     });
 }
 
@@ -167,7 +167,7 @@
             .is_some());
         let open = scene.not_released_by(&calls, now() + 3.0).await;
         assert!(open.is_empty(), "{}", scene.proxy.log());
-        let status = scene.proxy.ended_within(2.0).await;
+        let status = scene.proxy.wait_for_exit(2.0).await;
         assert!(status.is_some_and(|s| s.success()), "{}", scene.proxy.log());
     });
 }
