--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -61,7 +61,7 @@
     /// The connection of a caller: the one it has, else a new one. What is sent `again` may connect whenever it can.
     async fn line(&self, proxy: usize, caller: usize, again: bool) -> Option<Line> {
         let held = self.pools[proxy].lines.borrow()[caller].clone();
-        if let Some(line) = held.filter(|line| line.over_at().is_none()) {
+        if let Some(line) = held.filter(|line| line.closed_at().is_none()) {
             return Some(line);
         }
         let slot = &self.proxies[proxy];
@@ -124,7 +124,7 @@
 
     async fn write(&self, line: &Line, proxy: usize, set_up: &SetUp) -> bool {
         let (piece, pause) = if self.pools[proxy].slow.get() { PIECE } else { (usize::MAX, 0.0) };
-        line.call_in_pieces(set_up, piece, pause).await.is_ok()
+        line.send_set_up_in_pieces(set_up, piece, pause).await.is_ok()
     }
 
     async fn wait(&self, line: &Line, planned: &PlannedCall, call: &str) -> End {
@@ -133,14 +133,14 @@
         let early = self.pools[planned.proxy].impatient.get();
         loop {
             sleep(LOOK).await;
-            let Some(since) = line.is_waiting_since(call) else { return End::Answered };
-            if let Some(over) = line.over_at() {
+            let Some(since) = line.pending_since(call) else { return End::Answered };
+            if let Some(over) = line.closed_at() {
                 return if over - since <= CROSSING { End::Crossed } else { End::Over };
             }
             // The half second for which an answer still counts is waited for.
             let waits = if early { patience * EARLY } else { patience + 0.6 };
             if now() - asked >= waits {
-                let _ = line.give_up(call).await;
+                let _ = line.cancel_set_up(call).await;
                 return End::Over;
             }
         }
--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -67,11 +67,11 @@
             deadline_ms: 2500,
             destination: 1 + ((number * CALLS + n) % exchanges) as i64,
         };
-        if caller.call(&set_up).await.is_err() {
+        if caller.send_set_up(&set_up).await.is_err() {
             return stood;
         }
         let until = now() + 3.0;
-        while caller.is_waiting_since(&set_up.call_id).is_some() && now() < until {
+        while caller.pending_since(&set_up.call_id).is_some() && now() < until {
             sleep(0.0005).await;
         }
         let stands =
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -87,12 +87,12 @@
     }
 
     /// When the connection was over, if it is.
-    pub fn over_at(&self) -> Option<f64> {
+    pub fn closed_at(&self) -> Option<f64> {
         self.state.over.get()
     }
 
     /// When a set-up without a final answer was written.
-    pub fn is_waiting_since(&self, call: &str) -> Option<f64> {
+    pub fn pending_since(&self, call: &str) -> Option<f64> {
         self.state.open.borrow().get(call).copied()
     }
 
@@ -103,12 +103,12 @@
     }
 
     /// Asks for a call.
-    pub async fn call(&self, set_up: &SetUp) -> io::Result<()> {
-        self.call_in_pieces(set_up, usize::MAX, 0.0).await
+    pub async fn send_set_up(&self, set_up: &SetUp) -> io::Result<()> {
+        self.send_set_up_in_pieces(set_up, usize::MAX, 0.0).await
     }
 
     /// Asks for a call in pieces of so many bytes, with a pause after each.
-    pub async fn call_in_pieces(&self, set_up: &SetUp, piece: usize, pause: f64) -> io::Result<()> {
+    pub async fn send_set_up_in_pieces(&self, set_up: &SetUp, piece: usize, pause: f64) -> io::Result<()> {
         let bytes = set_up.message().bytes();
         let pieces = bytes.chunks(piece.min(bytes.len()));
         let last = pieces.len() - 1;
@@ -130,7 +130,7 @@
     }
 
     /// Waits no longer for a set-up.
-    pub async fn give_up(&self, call: &str) -> io::Result<()> {
+    pub async fn cancel_set_up(&self, call: &str) -> io::Result<()> {
         if self.state.open.borrow_mut().remove(call).is_some() {
             self.record.add(&self.name, self.proxy, call, Observation::GaveUp);
             let cancel = Message::request("CANCEL", "sip:x@net")
--- a/crates/standin/src/exchange/faults.rs
+++ b/crates/standin/src/exchange/faults.rs
@@ -57,7 +57,7 @@
         self.0.condition.set(Condition::CutOff);
         self.note(Observation::Silent);
         for port in &self.0.ports {
-            *port.fillers.borrow_mut() = listener::stall(port.addr);
+            *port.fillers.borrow_mut() = listener::fill_backlog(port.addr);
         }
     }
 
--- a/crates/standin/src/listener.rs
+++ b/crates/standin/src/listener.rs
@@ -24,7 +24,7 @@
 
 /// Fills the queue of a listener that nobody accepts from: the kernel drops what asks for a connection from now on.
 /// Connections come up again once these are dropped and the queue is emptied.
-pub fn stall(addr: SocketAddr) -> Vec<Socket> {
+pub fn fill_backlog(addr: SocketAddr) -> Vec<Socket> {
     let connect = |_| {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None).ok()?;
         socket.set_nonblocking(true).ok()?;
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -65,7 +65,7 @@
     pub async fn ask(&self, caller: &Caller, destination: i64, call: &str, hold_ms: u64) {
         let number = CallScript { answer_ms: 5, hold_ms }.called_number();
         let set_up = SetUp { call_id: call.to_owned(), number, deadline_ms: 2500, destination };
-        caller.call(&set_up).await.expect("it is sent");
+        caller.send_set_up(&set_up).await.expect("it is sent");
     }
 
     /// Waits until a call has its final answer or a time is over; returns whether it stands.
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -159,7 +159,7 @@
             deadline_ms: 2500,
             destination: 1,
         };
-        caller.call(&late).await.expect("it is sent");
+        caller.send_set_up(&late).await.expect("it is sent");
         sleep(0.2).await;
         assert!(scene
             .record
