--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -1,5 +1,5 @@
-//! Prints what one proxy holds among 1, 10, 60, 100 and 300 exchanges, idle and under load, and how many calls a second
-//! it sets up and ends.
+//! Prints the memory and descriptors of one proxy among 1, 10, 60, 100 and 300 exchanges, idle and under load, and
+//! the rate in calls per second at which it sets up and ends calls.
 //!
 //!     cargo run --release -p mallowring-standin --example footprint -- target/release/mallowring
 
@@ -13,7 +13,7 @@
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::{run, sleep, Executor};
 
-/// Callers under load, and the calls of each.
+/// Number of concurrent callers, and the number of calls that each makes.
 const CALLERS: u64 = 20;
 const CALLS: u64 = 150;
 
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// One caller's calls, one after another; returns how many stood.
+/// Makes the calls of one caller, one after another; returns how many were established.
 async fn load(caller: &Caller, record: &Record, number: u64, exchanges: u64) -> u64 {
     let mut stood = 0;
     for n in 0..CALLS {
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A stand-in caller: one connection to a proxy that asks for calls and notes what it is told.
+//! A stand-in caller: one connection to a proxy that sends set-ups and records the answers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,16 +15,16 @@
 use crate::record::{now, Observation, Record};
 use crate::{sleep, Executor};
 
-/// What is known of a connection, by whoever writes on it and by whoever reads.
+/// State of a connection, shared by its writers and its reader.
 #[derive(Default)]
 struct State {
-    /// Set-ups without a final answer, and when they were written.
+    /// Pending set-ups by Call-ID, with the time at which each was written.
     open: RefCell<BTreeMap<String, f64>>,
-    /// Calls that stand.
+    /// Call-IDs of established calls.
     standing: RefCell<BTreeSet<String>>,
-    /// When it was over.
+    /// Time at which the connection was closed.
     over: Cell<Option<f64>>,
-    /// Since when there has been no call on it.
+    /// Time since which the connection has had no call.
     idle_since: Cell<f64>,
 }
 
@@ -36,19 +36,19 @@
     }
 }
 
-/// One connection of a caller's.
+/// One connection of a caller.
 pub struct Caller {
     name: String,
     proxy: usize,
     record: Record,
     stream: TcpStream,
-    /// Whoever writes holds it for a whole message.
+    /// Write half; the lock is held for a whole message.
     way_out: Rc<Mutex<TcpStream>>,
     state: Rc<State>,
 }
 
 impl Caller {
-    /// Connects to a proxy, counted from 0, and notes from now on what it says.
+    /// Connects to a proxy, counted from 0, and records every final answer and release that it sends.
     pub async fn connect(
         tasks: &Executor,
         record: &Record,
@@ -80,34 +80,34 @@
         Ok(caller)
     }
 
-    /// Whether the connection is there, as far as anybody has noticed.
+    /// Returns whether the connection is open, after a short wait for a close to be noticed.
     pub async fn is_open(&self) -> bool {
         sleep(0.01).await;
         self.state.over.get().is_none()
     }
 
-    /// When the connection was over, if it is.
+    /// Returns the time at which the connection was closed, if it is.
     pub fn closed_at(&self) -> Option<f64> {
         self.state.over.get()
     }
 
-    /// When a set-up without a final answer was written.
+    /// Returns the time at which a set-up was written that has no final answer yet.
     pub fn pending_since(&self, call: &str) -> Option<f64> {
         self.state.open.borrow().get(call).copied()
     }
 
-    /// Whether there has been no call on it for so many seconds.
+    /// Returns whether the connection has had no call for at least `seconds`.
     pub fn is_idle_for(&self, seconds: f64) -> bool {
         self.state.look();
         now() - self.state.idle_since.get() >= seconds
     }
 
-    /// Asks for a call.
+    /// Sends a set-up.
     pub async fn send_set_up(&self, set_up: &SetUp) -> io::Result<()> {
         self.send_set_up_in_pieces(set_up, usize::MAX, 0.0).await
     }
 
-    /// Asks for a call in pieces of so many bytes, with a pause after each.
+    /// Sends a set-up in pieces of at most `piece` bytes, with a pause of `pause` seconds after each.
     pub async fn send_set_up_in_pieces(&self, set_up: &SetUp, piece: usize, pause: f64) -> io::Result<()> {
         let bytes = set_up.message().bytes();
         let pieces = bytes.chunks(piece.min(bytes.len()));
@@ -115,7 +115,7 @@
         let mut way_out = self.way_out.lock().await;
         for (ix, piece) in pieces.enumerate() {
             if ix == last {
-                // It counts from its last byte.
+                // The waiting time counts from the last byte.
                 self.state.open.borrow_mut().insert(set_up.call_id.clone(), now());
             }
             way_out.write_all(piece).await?;
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Waits no longer for a set-up.
+    /// Cancels a pending set-up.
     pub async fn cancel_set_up(&self, call: &str) -> io::Result<()> {
         if self.state.open.borrow_mut().remove(call).is_some() {
             self.record.add(&self.name, self.proxy, call, Observation::GaveUp);
@@ -142,19 +142,19 @@
         Ok(())
     }
 
-    /// Ends a call.
+    /// Sends a release for a call.
     pub async fn hang_up(&self, call: &str) -> io::Result<()> {
         self.record.add(&self.name, self.proxy, call, Observation::HungUp);
         self.state.standing.borrow_mut().remove(call);
         messages::send(&mut *self.way_out.lock().await, &messages::release_request(call, 16)).await
     }
 
-    /// Writes bytes as they are.
+    /// Writes raw bytes.
     pub async fn write(&self, bytes: &[u8]) -> io::Result<()> {
         self.way_out.lock().await.write_all(bytes).await
     }
 
-    /// Closes the connection; set-ups open on it are given up.
+    /// Closes the connection; pending set-ups on it are given up.
     pub fn close(&self) {
         for call in std::mem::take(&mut *self.state.open.borrow_mut()).into_keys() {
             self.record.add(&self.name, self.proxy, &call, Observation::GaveUp);
@@ -178,7 +178,7 @@
             (Some(status), _) if status >= 200 => {
                 let Some((_, "INVITE")) = message.cseq() else { continue };
                 let waited = state.open.borrow_mut().remove(&id).is_some();
-                // What crosses the giving up is no answer that anybody waits for.
+                // A 487 that crosses a cancel answers a set-up that the caller no longer waits for.
                 if !waited && status == 487 {
                     continue;
                 }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in of discovery (the platform's bulletin): numbered events over TCP, and the ways in which it fails.
+//! A stand-in of discovery, the service that sends the roster: numbered events over TCP, and simulated faults.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,18 +12,18 @@
 use crate::record::{now, Observation, Record};
 use crate::{listener, sleep, Executor};
 
-/// Between two lines that hold the last number alone.
+/// Interval in seconds after which an idle connection gets a heartbeat line, which holds the last event number.
 const HEARTBEAT: f64 = 1.0;
 const LOOK: f64 = 0.005;
 
-/// The state of an exchange on the list.
+/// State of an exchange in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     /// In service.
     Ready,
-    /// Nothing new goes there.
+    /// The exchange gets no new calls.
     Draining,
-    /// Removed.
+    /// Removed from the roster.
     Gone,
 }
 
@@ -37,18 +37,18 @@
     }
 }
 
-/// One line of the list.
+/// One exchange in the roster.
 #[derive(Clone, Debug)]
 pub struct RosterEntry {
-    /// The id of the exchange.
+    /// The id of this running exchange.
     pub id: String,
-    /// Its number.
+    /// The number of the exchange.
     pub number: i64,
-    /// Where it listens.
+    /// The address on which the exchange listens.
     pub addr: SocketAddr,
-    /// Its state.
+    /// The state of the exchange.
     pub lifecycle: Lifecycle,
-    /// When it started, in Unix milliseconds; 0 for long ago.
+    /// Start time in Unix milliseconds; 0 for an exchange that started long ago.
     pub started_at_ms: u64,
 }
 
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Condition {
     Working,
-    /// Connections come up and nothing is said.
+    /// Connections are accepted but nothing is sent.
     Silent,
     /// Connections are reset and refused.
     Down,
@@ -72,22 +72,22 @@
 struct Inner {
     tasks: Executor,
     record: Record,
-    /// The proxy that it tells, from 0.
+    /// Index of the proxy that this service sends the roster to, from 0.
     proxy: usize,
     addr: Cell<SocketAddr>,
     listener: RefCell<Option<TcpListener>>,
     condition: Cell<Condition>,
     events: RefCell<Vec<(Value, Vec<RosterEntry>)>>,
-    /// Counts the addresses that it has had; whoever listens at an older one ends.
+    /// Number of address changes so far; tasks that serve an earlier address end.
     moves: Cell<u64>,
 }
 
-/// A stand-in of discovery; its copies are the same one.
+/// A stand-in of discovery; clones share the same state.
 #[derive(Clone)]
 pub struct Discovery(Rc<Inner>);
 
 impl Discovery {
-    /// Starts with the whole list as its first event.
+    /// Starts the service with a full roster as its first event.
     pub fn start(
         tasks: &Executor,
         record: &Record,
@@ -111,19 +111,19 @@
         Ok(discovery)
     }
 
-    /// Where it listens.
+    /// Returns the address on which the service listens.
     pub fn addr(&self) -> SocketAddr {
         self.0.addr.get()
     }
 
-    /// The events so far, in the form of the configuration's `known`.
+    /// Returns the events so far in the form of the key `known` of the proxy's configuration.
     pub fn events_json(&self) -> Value {
         let events = self.0.events.borrow();
         let items: Vec<&Value> = events.iter().map(|(event, _)| event).collect();
         json!({"no": events.len(), "items": items})
     }
 
-    /// Adds an event: the whole list, or what has changed.
+    /// Appends an event: a full roster (`whole`), or only the entries that changed.
     pub fn publish(&self, whole: bool, listed: &[RosterEntry]) {
         let mut events = self.0.events.borrow_mut();
         let no = events.len() + 1;
@@ -140,7 +140,7 @@
         self.0.record.add("discovery", self.0.proxy, "", observation);
     }
 
-    /// Listens at another address from now on; the old one is refused, and its connections end.
+    /// Moves the service to another address: the old one refuses connections and its open connections end.
     pub fn change_address(&self) -> io::Result<()> {
         let listener = listener::bind(([127, 0, 0, 1], 0).into())?;
         self.0.addr.set(listener.local_addr()?);
@@ -152,20 +152,20 @@
         Ok(())
     }
 
-    /// Connections are reset and refused from now on.
+    /// Resets the open connections and refuses new ones from now on.
     pub fn go_down(&self) {
         self.0.condition.set(Condition::Down);
         self.note(Observation::Reachable(false));
         self.0.listener.borrow_mut().take();
     }
 
-    /// Connections come up and nothing is said from now on.
+    /// Accepts connections but sends nothing from now on.
     pub fn go_silent(&self) {
         self.0.condition.set(Condition::Silent);
         self.note(Observation::Reachable(false));
     }
 
-    /// It works again.
+    /// Ends [`Discovery::go_down`] and [`Discovery::go_silent`].
     pub fn recover(&self) -> io::Result<()> {
         if self.0.listener.borrow().is_none() {
             let listener = listener::bind(self.0.addr.get())?;
@@ -198,7 +198,7 @@
         self.0.tasks.spawn(accepting).detach();
     }
 
-    /// Whether something may be said; ends the connection where discovery is down.
+    /// Waits until the service may send; returns an error if the connection must end.
     async fn may_speak(&self, moves: u64) -> io::Result<()> {
         loop {
             if self.0.moves.get() != moves {
--- a/crates/standin/src/exchange/faults.rs
+++ b/crates/standin/src/exchange/faults.rs
@@ -1,4 +1,4 @@
-//! The ways in which a stand-in exchange fails.
+//! Faults that a stand-in exchange simulates.
 
 use std::io;
 use std::net::Shutdown;
@@ -11,27 +11,27 @@
 use crate::record::Observation;
 use crate::{listener, sleep};
 
-/// From the end of a silence until the exchange says what it could not.
-const AFTER_RESUME: f64 = 0.02;
+/// Delay in seconds between the end of an outage and the messages that were held back during it.
+const RESUME_DELAY_S: f64 = 0.02;
 
-/// What an exchange does wrong while it works.
+/// Protocol faults of an exchange that is otherwise working.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Misbehaviour {
-    /// Answers come so many seconds later.
+    /// Additional delay of each answer, in seconds.
     pub answer_delay: f64,
-    /// Every answer is said twice, the second some milliseconds later.
+    /// Send every answer a second time, a few milliseconds later.
     pub duplicate_answers: bool,
-    /// Every answer is spoilt: it can't be read.
+    /// Replace every answer by a message that cannot be parsed.
     pub malformed_answers: bool,
-    /// Everything is written in pieces, with pauses between.
+    /// Write every message in small fragments with pauses between them.
     pub fragmented_writes: bool,
-    /// New connections are served so many seconds late.
+    /// Delay before a new connection is served, in seconds.
     pub accept_delay: f64,
-    /// Releases go on another connection than their set-up's.
+    /// Send releases on another connection than that of the set-up.
     pub releases_on_other_connection: bool,
 }
 
-/// Closes a connection so that the other end sees a reset; the tasks that hold it end by themselves.
+/// Closes a connection with a reset; the tasks that use it end when they notice.
 fn reset(stream: TcpStream) {
     let stream: Arc<Async<std::net::TcpStream>> = stream.into();
     listener::reset(stream.get_ref());
@@ -39,108 +39,110 @@
 }
 
 impl Exchange {
-    /// What it does wrong from now on.
+    /// Sets the protocol faults of the exchange from now on.
     pub fn set_misbehaviour(&self, misbehaviour: Misbehaviour) {
         self.0.misbehaviour.set(misbehaviour);
     }
 
-    /// The machine vanishes with its calls: connections stay open and silent, new ones never come up.
+    /// Makes the machine vanish with its calls: open connections turn silent and new connection attempts time out.
     pub fn vanish(&self) {
         self.cut_off();
         self.cut_calls();
-        // Nothing that still waits on the old connections is ever read.
-        self.0.process.set(self.0.process.get() + 1);
+        // Data still waiting on the old connections is never read.
+        self.0.generation.set(self.0.generation.get() + 1);
     }
 
-    /// The machine is cut off from the network and keeps its calls.
+    /// Cuts the machine off from the network; its calls are kept.
     pub fn cut_off(&self) {
         self.0.condition.set(Condition::CutOff);
-        self.note(Observation::Silent);
+        self.record_event(Observation::Silent);
         for port in &self.0.ports {
-            *port.fillers.borrow_mut() = listener::fill_backlog(port.addr);
+            *port.backlog_fillers.borrow_mut() = listener::fill_backlog(port.addr);
         }
     }
 
-    /// The process hangs and keeps its calls: the machine still takes connections.
+    /// Makes the process hang with its calls kept: the kernel still accepts connections.
     pub fn hang(&self) {
         self.0.condition.set(Condition::Hung);
-        self.note(Observation::Silent);
+        self.record_event(Observation::Silent);
     }
 
-    /// Ends [`Exchange::cut_off`] and [`Exchange::hang`]: what was held up goes on.
+    /// Ends [`Exchange::cut_off`] and [`Exchange::hang`]: delayed reads and writes continue.
     pub fn resume(&self) {
         self.0.condition.set(Condition::Working);
-        self.note(Observation::Working);
+        self.record_event(Observation::Working);
         for port in &self.0.ports {
-            port.fillers.borrow_mut().clear();
+            port.backlog_fillers.borrow_mut().clear();
         }
         let exchange = self.clone();
-        let told = async move {
-            // Whichever connections the proxy has closed meanwhile are noticed first.
-            sleep(AFTER_RESUME).await;
-            for ix in 0..exchange.0.ports.len() {
-                exchange.send_state(ix);
-                exchange.send_waiting_releases(ix);
+        let sending = async move {
+            // Lets the exchange notice first which connections the proxy has closed meanwhile.
+            sleep(RESUME_DELAY_S).await;
+            for port_index in 0..exchange.0.ports.len() {
+                exchange.send_trunk_group_state(port_index);
+                exchange.send_delayed_releases(port_index);
             }
         };
-        self.0.tasks.spawn(told).detach();
+        self.0.tasks.spawn(sending).detach();
     }
 
-    /// The process dies: its connections are reset, its calls are cut, new connections are refused.
+    /// Crashes the process: its connections are reset, its calls are cut and new connections are refused.
     pub fn crash(&self) {
         self.0.condition.set(Condition::Dead);
-        self.note(Observation::Working);
+        self.record_event(Observation::Working);
         self.end_process(reset);
         self.close_listeners();
     }
 
-    /// It has drained: its connections are closed in order, new ones are refused, and calls that still stood are cut.
+    /// Stops the process after a drain: its connections are closed in order, new ones are refused and remaining calls
+    /// are cut.
     pub fn stop(&self) {
         self.0.condition.set(Condition::Dead);
-        self.note(Observation::Working);
+        self.record_event(Observation::Working);
         self.end_process(|stream| drop(stream.shutdown(Shutdown::Both)));
         self.close_listeners();
     }
 
-    /// The process dies and another one is there at once: its connections are reset, its calls are cut, and no
-    /// connection is ever refused.
+    /// Crashes the process and starts another one at once: connections are reset and calls are cut, but no connection
+    /// is refused.
     pub fn restart_at_once(&self) {
         self.end_process(reset);
         self.accept_on_all_ports();
     }
 
-    /// Another process without calls listens at the same addresses. Connections of the old one stay as they are.
+    /// Starts another process without calls at the same addresses. Connections of the old process stay open and
+    /// silent.
     pub async fn replace(&self) -> io::Result<()> {
-        self.0.process.set(self.0.process.get() + 1);
+        self.0.generation.set(self.0.generation.get() + 1);
         for port in &self.0.ports {
             port.connections.borrow_mut().clear();
-            port.fillers.borrow_mut().clear();
-            port.releases.borrow_mut().clear();
+            port.backlog_fillers.borrow_mut().clear();
+            port.releases_for_next_connection.borrow_mut().clear();
             port.circuits_used.set(0);
             if port.listener.borrow().is_none() {
-                let fresh = bind_again(port.addr).await?;
-                *port.listener.borrow_mut() = Some(fresh);
+                let rebound = bind_again(port.addr).await?;
+                *port.listener.borrow_mut() = Some(rebound);
             }
         }
         self.0.condition.set(Condition::Working);
-        self.note(Observation::Working);
+        self.record_event(Observation::Working);
         self.accept_on_all_ports();
         Ok(())
     }
 
-    /// Closes one of a proxy's connections in order; returns whether there was one.
+    /// Closes one connection of a proxy in order; returns whether there was one.
     pub fn close_connection(&self, proxy: usize) -> bool {
         let closed = self.0.ports[proxy].connections.borrow_mut().pop_first();
         closed.is_some_and(|(_, connection)| connection.stream.shutdown(Shutdown::Both).is_ok())
     }
 
-    /// Resets one of a proxy's connections; returns whether there was one.
+    /// Resets one connection of a proxy; returns whether there was one.
     pub fn reset_connection(&self, proxy: usize) -> bool {
         let taken = self.0.ports[proxy].connections.borrow_mut().pop_last();
         taken.map(|(_, connection)| reset(connection.stream)).is_some()
     }
 
-    /// One of a proxy's connections brings nothing any longer, and nothing on it is read.
+    /// Stops reading and writing on one connection of a proxy; returns whether one was newly silenced.
     pub fn silence_connection(&self, proxy: usize) -> bool {
         let first = self.0.ports[proxy].connections.borrow().keys().next().copied();
         first.is_some_and(|connection| self.0.silenced.borrow_mut().insert(connection))
@@ -148,8 +150,8 @@
 
     fn end_process(&self, close: impl Fn(TcpStream)) {
         self.cut_calls();
-        self.0.process.set(self.0.process.get() + 1);
-        self.0.reset_before.set(self.0.process.get());
+        self.0.generation.set(self.0.generation.get() + 1);
+        self.0.reset_below_generation.set(self.0.generation.get());
         for port in &self.0.ports {
             let connections = std::mem::take(&mut *port.connections.borrow_mut());
             connections.into_values().for_each(|connection| close(connection.stream));
@@ -159,7 +161,7 @@
     fn close_listeners(&self) {
         for port in &self.0.ports {
             port.listener.borrow_mut().take();
-            port.fillers.borrow_mut().clear();
+            port.backlog_fillers.borrow_mut().clear();
         }
     }
 }
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -1,7 +1,7 @@
-//! A stand-in exchange: answers set-ups as the number called says, tells the state of its trunk groups, releases its
-//! calls at their end, and fails in the ways in which exchanges fail.
+//! A stand-in exchange: answers set-ups according to the called number, reports the state of its trunk groups,
+//! releases its calls after their holding time, and simulates faults of exchanges.
 //!
-//! It listens at one address for each proxy, so that it knows whose trunk group a connection is about.
+//! The exchange listens on one address per proxy, so that the address identifies the trunk group of a connection.
 
 mod calls;
 mod faults;
@@ -23,24 +23,24 @@
 use crate::record::{now, Observation, Record};
 use crate::{listener, sleep, Executor};
 
-/// Between two looks of a task that is held up.
-const LOOK: f64 = 0.002;
-/// Bytes of a piece, and the pause after it, where it writes in pieces.
-const PIECE: usize = 24;
-const PIECE_PAUSE: f64 = 0.001;
+/// Poll interval of a task that waits for a change of state, in seconds.
+const POLL_INTERVAL_S: f64 = 0.002;
+/// Size in bytes of each write, and the pause in seconds after it, while [`Misbehaviour::fragmented_writes`] is set.
+const FRAGMENT_BYTES: usize = 24;
+const FRAGMENT_PAUSE_S: f64 = 0.001;
 /// Circuits of each trunk group.
-const CIRCUITS: u32 = 400;
+const CIRCUITS_PER_GROUP: u32 = 400;
 
-/// What the machine does now.
+/// State of the machine that the exchange runs on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Condition {
-    /// It works.
+    /// The machine works.
     Working,
-    /// Connections stay open and come up, and nothing is read or said.
+    /// Connections are accepted and stay open, but nothing is read or written.
     Hung,
-    /// Connections stay open and silent, and new ones never come up.
+    /// Connections stay open but silent, and new connection attempts time out.
     CutOff,
-    /// It is not there: connections are refused.
+    /// No process is running: connections are refused.
     Dead,
 }
 
@@ -50,24 +50,24 @@
     outgoing: Sender<Vec<u8>>,
 }
 
-/// The address at which one proxy meets the exchange.
+/// The listening address for one proxy, and the connections and circuits of its trunk group.
 struct Port {
     addr: SocketAddr,
     listener: RefCell<Option<TcpListener>>,
     connections: RefCell<BTreeMap<u64, Connection>>,
-    /// Our own connections that keep others from coming up.
-    fillers: RefCell<Vec<Socket>>,
-    /// Releases for the next connection to be opened.
-    releases: RefCell<Vec<Message>>,
-    /// Releases that could not be said while the machine was held up.
-    unsaid: RefCell<Vec<Message>>,
+    /// Connections of the test process that fill the backlog of the listener.
+    backlog_fillers: RefCell<Vec<Socket>>,
+    /// Releases to send on the next connection to be opened.
+    releases_for_next_connection: RefCell<Vec<Message>>,
+    /// Releases that could not be sent while the machine was down.
+    delayed_releases: RefCell<Vec<Message>>,
     circuits_used: Cell<u32>,
 }
 
 struct Call {
     port: usize,
     connection: u64,
-    stands: bool,
+    established: bool,
 }
 
 struct Inner {
@@ -77,28 +77,28 @@
     number: i64,
     ports: Vec<Port>,
     condition: Cell<Condition>,
-    /// Counts the processes that have run at these addresses; connections of earlier ones stay silent.
-    process: Cell<u64>,
-    /// Connections of processes before this one are reset.
-    reset_before: Cell<u64>,
+    /// Number of processes that have run at these addresses before; connections of earlier processes stay silent.
+    generation: Cell<u64>,
+    /// Connections of processes with a lower number than this have been reset.
+    reset_below_generation: Cell<u64>,
     next_connection: Cell<u64>,
     misbehaviour: Cell<Misbehaviour>,
-    /// Connections on which nothing is read or written any longer.
+    /// Connections on which nothing is read or written any more.
     silenced: RefCell<BTreeSet<u64>>,
     calls: RefCell<BTreeMap<String, Call>>,
-    /// When a call last came to its end.
-    released_at: Cell<f64>,
+    /// Time at which a call was last released, in seconds of Unix time.
+    last_release_at: Cell<f64>,
 }
 
-/// A stand-in exchange; its copies are the same one.
+/// A stand-in exchange; clones share the same state.
 #[derive(Clone)]
 pub struct Exchange(Rc<Inner>);
 
-/// Binds an address whose last owner is about to leave.
+/// Binds an address that its previous listener is about to release.
 async fn bind_again(addr: SocketAddr) -> io::Result<TcpListener> {
     for _ in 0..100 {
         match listener::bind(addr) {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(LOOK).await,
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(POLL_INTERVAL_S).await,
             other => return other,
         }
     }
@@ -106,7 +106,7 @@
 }
 
 impl Exchange {
-    /// Starts an exchange of a number with one address for each proxy.
+    /// Starts an exchange with the given number that listens on one address per proxy.
     pub fn start(
         tasks: &Executor,
         record: &Record,
@@ -121,9 +121,9 @@
                 addr: listener.local_addr()?,
                 listener: RefCell::new(Some(listener)),
                 connections: RefCell::default(),
-                fillers: RefCell::default(),
-                releases: RefCell::default(),
-                unsaid: RefCell::default(),
+                backlog_fillers: RefCell::default(),
+                releases_for_next_connection: RefCell::default(),
+                delayed_releases: RefCell::default(),
                 circuits_used: Cell::new(0),
             });
         }
@@ -134,180 +134,181 @@
             number,
             ports,
             condition: Cell::new(Condition::Working),
-            process: Cell::new(0),
-            reset_before: Cell::new(0),
+            generation: Cell::new(0),
+            reset_below_generation: Cell::new(0),
             next_connection: Cell::new(0),
             misbehaviour: Cell::default(),
             silenced: RefCell::default(),
             calls: RefCell::default(),
-            released_at: Cell::new(0.0),
+            last_release_at: Cell::new(0.0),
         }));
         exchange.accept_on_all_ports();
         Ok(exchange)
     }
 
-    /// Its name, as the record has it.
+    /// Returns the name of the exchange, as used in the record.
     pub fn name(&self) -> &str {
         &self.0.name
     }
 
-    /// Its number.
+    /// Returns the number of the exchange.
     pub fn number(&self) -> i64 {
         self.0.number
     }
 
-    /// Where a proxy, counted from 0, meets it.
+    /// Returns the address at which a proxy, counted from 0, connects to the exchange.
     pub fn addr(&self, proxy: usize) -> SocketAddr {
         self.0.ports[proxy].addr
     }
 
-    /// The connections that a proxy holds to the process that runs now.
+    /// Returns the number of connections that a proxy has to the current process.
     pub fn connections(&self, proxy: usize) -> usize {
         self.0.ports[proxy].connections.borrow().len()
     }
 
-    /// The calls that stand.
+    /// Returns the number of established calls.
     pub fn established_calls(&self) -> usize {
-        self.0.calls.borrow().values().filter(|call| call.stands).count()
+        self.0.calls.borrow().values().filter(|call| call.established).count()
     }
 
-    /// Whether a call came to its end here within so many seconds.
+    /// Returns whether the exchange released a call within the last `seconds`.
     pub fn released_within(&self, seconds: f64) -> bool {
-        now() - self.0.released_at.get() <= seconds
+        now() - self.0.last_release_at.get() <= seconds
     }
 
-    /// Set-ups that are open.
+    /// Returns the number of pending set-ups.
     pub fn pending_set_ups(&self) -> usize {
-        self.0.calls.borrow().values().filter(|call| !call.stands).count()
+        self.0.calls.borrow().values().filter(|call| !call.established).count()
     }
 
-    /// Its process has just been started and is cold.
+    /// Records that a cold process of the exchange has started.
     pub fn record_cold_start(&self) {
-        self.note(Observation::StartedCold);
+        self.record_event(Observation::StartedCold);
     }
 
-    /// Notes something that is of no single call or proxy.
-    fn note(&self, observation: Observation) {
+    /// Records an observation that concerns no single call or proxy.
+    fn record_event(&self, observation: Observation) {
         self.0.record.add(&self.0.name, 0, "", observation);
     }
 
-    fn note_call(&self, proxy: usize, call: &str, observation: Observation) {
+    fn record_call_event(&self, proxy: usize, call: &str, observation: Observation) {
         self.0.record.add(&self.0.name, proxy, call, observation);
     }
 
     fn accept_on_all_ports(&self) {
-        for ix in 0..self.0.ports.len() {
-            let (exchange, process) = (self.clone(), self.0.process.get());
-            self.0.tasks.spawn(async move { exchange.accept(ix, process).await }).detach();
+        for port_index in 0..self.0.ports.len() {
+            let (exchange, generation) = (self.clone(), self.0.generation.get());
+            self.0.tasks.spawn(async move { exchange.accept(port_index, generation).await }).detach();
         }
     }
 
-    async fn accept(&self, ix: usize, process: u64) {
-        let Some(listener) = self.0.ports[ix].listener.borrow().clone() else { return };
+    async fn accept(&self, port_index: usize, generation: u64) {
+        let Some(listener) = self.0.ports[port_index].listener.borrow().clone() else { return };
         loop {
             let accepted = smol::future::or(async { listener.accept().await.ok() }, async {
-                // Whoever else listens here takes over.
-                while self.0.process.get() == process {
-                    sleep(LOOK).await;
+                // Stop accepting as soon as another process has replaced this one.
+                while self.0.generation.get() == generation {
+                    sleep(POLL_INTERVAL_S).await;
                 }
                 None
             });
             let Some((stream, _)) = accepted.await else { return };
             let exchange = self.clone();
-            let served = async move { exchange.serve(ix, stream, process).await };
-            self.0.tasks.spawn(served).detach();
-            self.works(process).await;
+            let serving = async move { exchange.serve(port_index, stream, generation).await };
+            self.0.tasks.spawn(serving).detach();
+            self.wait_until_working(generation).await;
         }
     }
 
-    /// Waits until the machine works; for ever where this process runs no longer and left its connections open.
-    async fn works(&self, process: u64) {
-        while self.0.condition.get() != Condition::Working || self.0.process.get() != process {
-            if process < self.0.reset_before.get() {
+    /// Waits until the machine works. Never returns if this process has been replaced and left its connections open.
+    async fn wait_until_working(&self, generation: u64) {
+        while self.0.condition.get() != Condition::Working || self.0.generation.get() != generation {
+            if generation < self.0.reset_below_generation.get() {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL_S).await;
         }
     }
 
-    async fn serve(&self, ix: usize, stream: TcpStream, process: u64) {
+    async fn serve(&self, port_index: usize, stream: TcpStream, generation: u64) {
         let _ = stream.set_nodelay(true);
         sleep(self.0.misbehaviour.get().accept_delay).await;
-        self.works(process).await;
-        if self.0.process.get() != process {
+        self.wait_until_working(generation).await;
+        if self.0.generation.get() != generation {
             return;
         }
         let connection = self.0.next_connection.get();
         self.0.next_connection.set(connection + 1);
         let (outgoing, queue) = unbounded();
-        let port = &self.0.ports[ix];
+        let port = &self.0.ports[port_index];
         port.connections.borrow_mut().insert(connection, Connection { stream: stream.clone(), outgoing });
-        let (exchange, way_out) = (self.clone(), stream.clone());
-        let written = async move { exchange.write_all(connection, way_out, queue).await };
-        self.0.tasks.spawn(written).detach();
-        self.write(ix, connection, &self.state(ix));
-        for message in port.releases.borrow_mut().drain(..) {
-            self.note_call(ix, &call_id(&message), Observation::ReleaseSent);
-            self.write(ix, connection, &message);
+        let (exchange, writer) = (self.clone(), stream.clone());
+        let writing = async move { exchange.write_queued(connection, writer, queue).await };
+        self.0.tasks.spawn(writing).detach();
+        self.write(port_index, connection, &self.trunk_group_state(port_index));
+        for message in port.releases_for_next_connection.borrow_mut().drain(..) {
+            self.record_call_event(port_index, &call_id(&message), Observation::ReleaseSent);
+            self.write(port_index, connection, &message);
         }
-        self.read_all(ix, connection, stream, process).await;
+        self.read_messages(port_index, connection, stream, generation).await;
     }
 
-    async fn read_all(&self, ix: usize, connection: u64, stream: TcpStream, process: u64) {
+    async fn read_messages(&self, port_index: usize, connection: u64, stream: TcpStream, generation: u64) {
         let mut reader = MessageReader::new(stream);
         while let Some(message) = reader.next().await {
-            self.works(process).await;
+            self.wait_until_working(generation).await;
             while self.0.silenced.borrow().contains(&connection) {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL_S).await;
             }
-            if self.0.process.get() != process {
+            if self.0.generation.get() != generation {
                 return;
             }
-            self.take(ix, connection, message);
+            self.handle_message(port_index, connection, message);
         }
-        self.0.ports[ix].connections.borrow_mut().remove(&connection);
+        self.0.ports[port_index].connections.borrow_mut().remove(&connection);
         self.0.silenced.borrow_mut().remove(&connection);
-        self.give_up_open_on(ix, connection);
+        self.cancel_pending_on(port_index, connection);
     }
 
-    async fn write_all(&self, connection: u64, mut stream: TcpStream, queue: Receiver<Vec<u8>>) {
+    async fn write_queued(&self, connection: u64, mut stream: TcpStream, queue: Receiver<Vec<u8>>) {
         while let Ok(bytes) = queue.recv().await {
-            let piece = if self.0.misbehaviour.get().fragmented_writes { PIECE } else { bytes.len().max(1) };
-            for bytes in bytes.chunks(piece) {
+            let fragment =
+                if self.0.misbehaviour.get().fragmented_writes { FRAGMENT_BYTES } else { bytes.len().max(1) };
+            for bytes in bytes.chunks(fragment) {
                 if self.0.silenced.borrow().contains(&connection) || stream.write_all(bytes).await.is_err() {
                     return;
                 }
-                if piece == PIECE {
-                    sleep(PIECE_PAUSE).await;
+                if fragment == FRAGMENT_BYTES {
+                    sleep(FRAGMENT_PAUSE_S).await;
                 }
             }
         }
     }
 
-    fn state(&self, ix: usize) -> Message {
-        let used = self.0.ports[ix].circuits_used.get();
-        messages::trunk_group_state(CIRCUITS.saturating_sub(used), CIRCUITS)
+    fn trunk_group_state(&self, port_index: usize) -> Message {
+        let used = self.0.ports[port_index].circuits_used.get();
+        messages::trunk_group_state(CIRCUITS_PER_GROUP.saturating_sub(used), CIRCUITS_PER_GROUP)
     }
 
-    /// A state goes to all connections about its trunk group.
-    fn send_state(&self, ix: usize) {
+    /// Sends the state of a trunk group on all its connections.
+    fn send_trunk_group_state(&self, port_index: usize) {
         if self.0.condition.get() != Condition::Working {
             return;
         }
-        let state = self.state(ix);
-        let open: Vec<u64> = self.0.ports[ix].connections.borrow().keys().copied().collect();
+        let state = self.trunk_group_state(port_index);
+        let open: Vec<u64> = self.0.ports[port_index].connections.borrow().keys().copied().collect();
         for connection in open {
-            self.write(ix, connection, &state);
+            self.write(port_index, connection, &state);
         }
     }
 
-    fn write(&self, ix: usize, connection: u64, message: &Message) {
-        self.write_bytes(ix, connection, message.bytes());
+    fn write(&self, port_index: usize, connection: u64, message: &Message) {
+        self.write_bytes(port_index, connection, message.bytes());
     }
 
-    fn write_bytes(&self, ix: usize, connection: u64, bytes: Vec<u8>) {
-        if let Some(connection) = self.0.ports[ix].connections.borrow().get(&connection) {
-            // Whoever has left need not be told.
+    fn write_bytes(&self, port_index: usize, connection: u64, bytes: Vec<u8>) {
+        if let Some(connection) = self.0.ports[port_index].connections.borrow().get(&connection) {
+            // A closed connection needs no further messages.
             let _ = connection.outgoing.try_send(bytes);
         }
     }
--- a/crates/standin/src/listener.rs
+++ b/crates/standin/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket on which new connections can be kept from coming up, as on a machine that has vanished.
+//! Listening sockets whose backlog can be filled, so that new connections time out as on an unreachable machine.
 
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::OwnedFd;
@@ -7,12 +7,12 @@
 use smol::Async;
 use socket2::{Domain, Socket, Type};
 
-/// Connections that the kernel takes in before the program does. Few, so that few of our own fill the queue.
+/// Length of the listen backlog; small, so that a few connections of the test process fill it.
 const BACKLOG: i32 = 8;
-/// More of our own connections than the queue holds.
-const FILLERS: usize = 3 * BACKLOG as usize;
+/// Connections that [`fill_backlog`] opens: more than the backlog holds.
+const FILLER_CONNECTIONS: usize = 3 * BACKLOG as usize;
 
-/// Binds an address of this machine; port 0 takes any that is free.
+/// Binds and listens on a local address; port 0 selects a free port.
 pub fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -22,20 +22,20 @@
     Ok(Async::new(listener)?.into())
 }
 
-/// Fills the queue of a listener that nobody accepts from: the kernel drops what asks for a connection from now on.
-/// Connections come up again once these are dropped and the queue is emptied.
+/// Fills the backlog of a listener that nobody accepts from, so that the kernel drops further connection requests.
+/// New connections succeed again once the returned sockets are dropped and the backlog is drained.
 pub fn fill_backlog(addr: SocketAddr) -> Vec<Socket> {
     let connect = |_| {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None).ok()?;
         socket.set_nonblocking(true).ok()?;
-        // It is under way; whether it comes up does not matter.
+        // A non-blocking connect reports an error while it is in progress; whether it completes does not matter.
         let _ = socket.connect(&addr.into());
         Some(socket)
     };
-    (0..FILLERS).filter_map(connect).collect()
+    (0..FILLER_CONNECTIONS).filter_map(connect).collect()
 }
 
-/// Closes a connection so that the other end sees a reset.
+/// Makes the close of a connection send a reset to the peer.
 pub fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
--- a/crates/standin/src/messages.rs
+++ b/crates/standin/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the platform's protocol that stand-ins send, and one connection that carries them.
+//! Builds, reads and writes the messages of the platform's protocol.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 
-/// Reads whole messages from a stream.
+/// Reads complete messages from a stream.
 #[derive(Debug)]
 pub struct MessageReader {
     stream: TcpStream,
@@ -14,12 +14,12 @@
 }
 
 impl MessageReader {
-    /// A reader at the beginning of a stream.
+    /// Creates a reader that starts at a message boundary of the stream.
     pub fn new(stream: TcpStream) -> MessageReader {
         MessageReader { stream, framer: Framer::default() }
     }
 
-    /// The next message; `None` once the stream has ended, broken or lost its bounds.
+    /// Returns the next message that can be parsed; `None` once the stream has ended, failed or lost its framing.
     pub async fn next(&mut self) -> Option<Message> {
         let mut bytes = vec![0; 16 * 1024];
         loop {
@@ -37,17 +37,17 @@
     }
 }
 
-/// Writes one message.
+/// Writes one message to the stream.
 pub async fn send(stream: &mut TcpStream, message: &Message) -> io::Result<()> {
     stream.write_all(&message.bytes()).await
 }
 
-/// The id of a message's call, or nothing.
+/// Returns the Call-ID of a message, or an empty string if it has none.
 pub fn call_id(message: &Message) -> String {
     message.get("Call-ID").unwrap_or_default().to_owned()
 }
 
-/// The state of a trunk group.
+/// Builds the NOTIFY that reports the free circuits and the size of a trunk group.
 pub fn trunk_group_state(free: u32, size: u32) -> Message {
     Message::request("NOTIFY", "sip:proxy@net")
         .with("Call-ID", "state")
@@ -55,7 +55,7 @@
         .with("X-Gauges", format!("idle:{free};circuits:{size};reduce:-1;avg_ms:-1"))
 }
 
-/// A release with a cause (Q.850): 16 for a call that has come to its end, 41 for one that was cut.
+/// Builds a release (BYE) with a cause (Q.850): 16 for a normal end of the call, 41 for an interrupted call.
 pub fn release_request(call: &str, cause: u32) -> Message {
     Message::request("BYE", "sip:x@net")
         .with("Via", "SIP/2.0/TCP peer")
@@ -64,32 +64,32 @@
         .with("Reason", format!("Q.850;cause={cause}"))
 }
 
-/// A test.
+/// Builds an OPTIONS request, which tests whether the peer answers.
 pub fn options_request() -> Message {
     Message::request("OPTIONS", "sip:ping@net").with("Call-ID", "t").with("CSeq", "1 OPTIONS")
 }
 
-/// A set-up, as a caller sends it.
+/// A set-up (INVITE) as a caller sends it.
 #[derive(Clone, Debug)]
 pub struct SetUp {
-    /// The id of the call, 16 hex digits.
+    /// The Call-ID: 16 hexadecimal digits.
     pub call_id: String,
-    /// The number called, which tells the stand-in exchange what to do ([`Script`]).
+    /// The called number, which tells the stand-in exchange how to handle the call ([`CallScript`]).
     pub number: String,
-    /// How long the caller waits, in milliseconds.
+    /// Time the caller waits for a final answer, in milliseconds.
     pub deadline_ms: u64,
-    /// The number of the exchange called.
+    /// The number of the called exchange.
     pub destination: i64,
 }
 
 impl SetUp {
-    /// The message.
+    /// Builds the INVITE.
     pub fn message(&self) -> Message {
         let mut message = Message::request("INVITE", &format!("sip:{}@net", self.number))
             .with("Via", "SIP/2.0/TCP peer")
             .with("Call-ID", &self.call_id)
             .with("CSeq", "1 INVITE")
-            // The more valuable class: no level but the highest refuses it.
+            // The more valuable class: it is refused only at the highest overload level.
             .with("X-Tier", "alarm")
             .with("X-Deadline", self.deadline_ms)
             .with("X-Attrs", format!("dest:{};width:1;via:-1", self.destination));
@@ -98,22 +98,22 @@
     }
 }
 
-/// What an exchange does with a call, written in the number called.
+/// How a stand-in exchange handles a call, encoded in the called number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallScript {
-    /// Milliseconds until the set-up is answered.
+    /// Time until the set-up is answered, in milliseconds.
     pub answer_ms: u64,
-    /// Milliseconds for which the call stands then.
+    /// Holding time of the call after the answer, in milliseconds.
     pub hold_ms: u64,
 }
 
 impl CallScript {
-    /// The number to call.
+    /// Returns the called number that encodes the script.
     pub fn called_number(&self) -> String {
         format!("a{}-h{}", self.answer_ms, self.hold_ms)
     }
 
-    /// Reads the number in the first line of a set-up.
+    /// Parses the script from the request URI of a set-up.
     pub fn parse(uri: &str) -> Option<CallScript> {
         let number = uri.strip_prefix("sip:")?.split_once('@')?.0;
         let (answer, hold) = number.split_once('-')?;
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy under test: the built program as a real process, configured as the platform does.
+//! The proxy under test: runs the built program as a real process, configured as the platform configures it.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -18,30 +18,30 @@
 use crate::record::now;
 use crate::sleep;
 
-/// A test that has no answer by then has failed.
+/// Time in seconds after which an unanswered OPTIONS request has failed.
 const TEST_WITHIN: f64 = 1.0;
-/// The port of every proxy; each has an address of its own.
+/// The port of every proxy; each proxy has its own IP address.
 const PORT: u16 = 2905;
-/// Between two looks whether something has come.
+/// Interval in seconds at which the process is polled.
 const LOOK: f64 = 0.01;
 
-/// What a proxy is told at its start.
+/// Configuration of a proxy at its start.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
-    /// Its name.
+    /// Name of the proxy.
     pub name: String,
-    /// The number of its own exchange.
+    /// Number of the exchange that the proxy belongs to.
     pub own_number: i64,
-    /// How many proxies there are.
+    /// Number of proxies in the deployment.
     pub proxies: usize,
-    /// Each class gives up after these seconds.
+    /// Time in seconds after which the callers of each class give up.
     pub give_up: f64,
-    /// The limit of memory in MB and of descriptors.
+    /// Limits on memory in MB and on file descriptors.
     pub limits: (u64, u64),
 }
 
 impl ProxyConfig {
-    /// An ordinary proxy of a small deployment.
+    /// Creates the configuration of a proxy in a small deployment with default limits.
     pub fn new(name: &str, own_number: i64, proxies: usize) -> ProxyConfig {
         ProxyConfig { name: name.to_owned(), own_number, proxies, give_up: 3.0, limits: (192, 1024) }
     }
@@ -66,10 +66,10 @@
     }
 }
 
-/// A running proxy. Dropped, it is killed.
+/// A running proxy; its process is killed on drop.
 pub struct Proxy {
     setup: ProxyConfig,
-    /// Where it listens for callers.
+    /// The address on which the proxy accepts callers.
     pub listen: SocketAddr,
     folder: PathBuf,
     child: Child,
@@ -99,12 +99,12 @@
         Ok(Proxy { setup: setup.clone(), listen, folder, child })
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits until it passes a test; returns whether it did in time.
+    /// Waits until the proxy answers an OPTIONS request; returns whether it did within the time.
     pub async fn is_ready_within(&self, seconds: f64) -> bool {
         let until = now() + seconds;
         while now() < until {
@@ -116,7 +116,7 @@
         false
     }
 
-    /// Whether the proxy at an address passes a test.
+    /// Returns whether the proxy at an address answers an OPTIONS request with 200.
     pub async fn answers_options(listen: SocketAddr) -> io::Result<bool> {
         let test = async {
             let mut stream = TcpStream::connect(listen).await?;
@@ -131,42 +131,42 @@
         smol::future::or(test, late).await
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Puts another configuration in place of the one it was started with; it is read on SIGHUP.
+    /// Replaces the configuration file; the proxy reads it again on SIGHUP.
     pub fn write_config(&self, discovery: &Discovery) -> io::Result<()> {
         std::fs::write(self.folder.join("config.json"), self.setup.json(self.listen, discovery).to_string())
     }
 
-    /// Whether it has ended, and then with success.
+    /// Returns whether the process exited with success; `None` while it runs.
     pub fn try_exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
-    /// Starts the program again under its name and address, once it has ended.
+    /// Starts the program again with the same name and address, after the process has exited.
     pub fn restart(&mut self, program: &Path, discovery: &Discovery) -> io::Result<()> {
         forget(self.child.id());
         self.child = spawn(program, &self.setup, self.listen, &self.folder, discovery)?;
         Ok(())
     }
 
-    /// Puts a configuration that can't be read in place of its own.
+    /// Replaces the configuration file by one that cannot be parsed.
     pub fn write_invalid_config(&self) -> io::Result<()> {
         std::fs::write(self.folder.join("config.json"), "{\"listen\": 7")
     }
 
-    /// Nanoseconds for which its main thread has waited for a processor (`/proc/PID/schedstat`).
+    /// Returns the time that the main thread has waited for a CPU, in nanoseconds (`/proc/PID/schedstat`).
     pub fn scheduling_delay_ns(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.id())).unwrap_or_default();
         stat.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 
-    /// Waits for its end; `None` if it runs on.
+    /// Waits for the process to exit; returns `None` if it still runs after the time.
     pub async fn wait_for_exit(&mut self, seconds: f64) -> Option<ExitStatus> {
         let until = now() + seconds;
         loop {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Its memory in kB: what is resident now, and the most that was (proc(5), `VmRSS` and `VmHWM`).
+    /// Returns the current and the peak resident memory in kB (proc(5), `VmRSS` and `VmHWM`).
     pub fn memory_kb(&self) -> (u64, u64) {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id())).unwrap_or_default();
         let field = |name: &str| {
@@ -188,18 +188,19 @@
         (field("VmRSS:"), field("VmHWM:"))
     }
 
-    /// The descriptors that it holds.
+    /// Returns the number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.id())).map_or(0, Iterator::count)
     }
 
-    /// What it has logged.
+    /// Returns the log of the process.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 }
 
-/// An address of the loopback range that nobody else has: a port that was free a moment ago may be anybody's.
+/// Returns a loopback IP address that no other proxy uses. A fixed IP address with a free port would not be safe: a
+/// port that was free a moment ago may have been taken by another process.
 fn own_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (process, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -233,7 +234,7 @@
     Ok(child)
 }
 
-/// The processes that run, for [`kill_all`].
+/// Ids of the running processes, for [`kill_all`].
 static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn forget(id: u32) {
@@ -242,11 +243,11 @@
     }
 }
 
-/// Kills every proxy that this program has started, for an end in the middle of things.
+/// Kills every proxy that this program has started; used when the program is interrupted.
 pub fn kill_all() {
     let Ok(running) = RUNNING.lock() else { return };
     for id in running.iter().filter_map(|id| Pid::from_raw(i32::try_from(*id).ok()?)) {
-        // One that has ended needs no killing.
+        // The process may have exited already; the error is ignored.
         let _ = kill_process(id, Signal::KILL);
     }
 }
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,126 +1,126 @@
-//! What the stand-ins of one trial saw, in the order in which they saw it.
+//! The chronological record of what the stand-ins of one trial observed.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds of Unix time.
+/// Returns the current Unix time in seconds.
 pub fn now() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
 }
 
-/// One thing that was seen.
+/// One observed event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// A caller wrote the last byte of a set-up.
     Requested {
-        /// How long it waits, in seconds.
+        /// Time the caller waits for a final answer, in seconds.
         deadline: f64,
     },
-    /// A caller no longer waits: it took the set-up back, or closed the connection that it is open on.
+    /// A caller stopped waiting: it cancelled the set-up or closed the connection that the set-up is pending on.
     GaveUp,
     /// A caller read a final answer.
     Answered {
-        /// Its status.
+        /// Status code of the answer.
         status: u16,
-        /// Its description.
+        /// Body of the answer.
         description: String,
     },
     /// A caller read a release with this cause (Q.850).
     ReleaseHeard(u32),
     /// A caller wrote a release.
     HungUp,
-    /// A caller's connection has come up.
+    /// A caller's connection was established.
     CallerConnected,
-    /// A caller's connection is over.
+    /// A caller's connection was closed.
     CallerDisconnected,
-    /// An exchange read a whole set-up.
+    /// An exchange read a complete set-up.
     SetUp {
-        /// Its description.
+        /// Body of the set-up.
         description: String,
     },
-    /// An exchange wrote its answer to a set-up.
+    /// An exchange wrote its final answer to a set-up.
     SetUpEnded {
-        /// Its status.
+        /// Status code of the answer.
         status: u16,
-        /// Its description.
+        /// Body of the answer.
         description: String,
     },
-    /// An exchange read that a set-up is given up, or its connection is over.
+    /// An exchange read a cancel of a set-up, or the connection of the set-up was closed.
     SetUpCancelled,
-    /// A call that stood at an exchange is over there.
+    /// An established call ended at its exchange.
     Over,
-    /// An exchange wrote a release on a connection that works.
+    /// An exchange wrote a release on a working connection.
     ReleaseSent,
-    /// An exchange read a release of the proxy's.
+    /// An exchange read a release sent by the proxy.
     ReleasedByProxy,
-    /// An exchange does not read or write any longer, or connections to it do not work.
+    /// An exchange stopped reading and writing, or stopped accepting connections.
     Silent,
-    /// It does again.
+    /// A silent exchange works again, or its process has ended.
     Working,
-    /// An exchange's process started cold.
+    /// An exchange started a new process, which is cold.
     StartedCold,
-    /// Discovery has a new state of an exchange, whoever has heard it.
+    /// Discovery has a new state of an exchange, whether or not it has sent it to a proxy.
     Published {
-        /// The exchange.
+        /// Name of the exchange.
         exchange: String,
-        /// It is in service.
+        /// Whether the exchange is in service.
         ready: bool,
     },
     /// Discovery wrote a state of an exchange to the proxy.
     Told {
-        /// The exchange.
+        /// Name of the exchange.
         exchange: String,
-        /// It is in service.
+        /// Whether the exchange is in service.
         ready: bool,
     },
-    /// Discovery can be reached and answers, or can't.
+    /// Discovery became reachable and responsive (`true`) or stopped being so (`false`).
     Reachable(bool),
     /// The proxy's process was started.
     ProxyStarted,
-    /// The proxy passed a test.
+    /// The proxy answered an OPTIONS request successfully.
     ProxyReady,
-    /// SIGTERM was sent.
+    /// SIGTERM was sent to the proxy.
     Terminated,
-    /// SIGKILL was sent.
+    /// SIGKILL was sent to the proxy.
     Killed,
-    /// The proxy's process ended by itself; `clean`: with success.
+    /// The proxy's process exited without SIGKILL.
     ProxyEnded {
-        /// Its exit code was 0.
+        /// Whether its exit code was 0.
         clean: bool,
     },
-    /// What the proxy's process held.
+    /// Resource usage of the proxy's process.
     Resources {
         /// Resident memory in kB.
         memory_kb: u64,
-        /// Descriptors.
+        /// Open file descriptors.
         descriptors: usize,
     },
-    /// The trial's own process was held up for so many seconds.
+    /// The trial's own process, or a proxy, was not scheduled for this many seconds.
     HeldUp(f64),
 }
 
-/// One line of the record.
+/// One entry of the record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// When, in seconds of Unix time.
+    /// Time of the observation, in seconds of Unix time.
     pub at: f64,
-    /// Who saw it: an exchange, a caller, discovery, the trial.
+    /// Name of the observer: an exchange, a caller, `discovery` or `trial`.
     pub observer: String,
-    /// Which proxy it is about, from 0.
+    /// Index of the proxy that the observation concerns, from 0.
     pub proxy: usize,
-    /// Of which call; empty where it is of none.
+    /// Call-ID of the call; empty if the observation concerns no single call.
     pub call_id: String,
-    /// What was seen.
+    /// The observed event.
     pub observation: Observation,
 }
 
-/// The record of one trial; its copies are the same record.
+/// The record of one trial; clones share the same entries.
 #[derive(Clone, Debug, Default)]
 pub struct Record(Rc<RefCell<Vec<Entry>>>);
 
 impl Record {
-    /// Adds what somebody sees now.
+    /// Appends an observation with the current time.
     pub fn add(&self, observer: &str, proxy: usize, call_id: &str, observation: Observation) {
         let entry = Entry {
             at: now(),
@@ -132,17 +132,18 @@
         self.0.borrow_mut().push(entry);
     }
 
-    /// All that was seen, oldest first.
+    /// Returns all entries in chronological order.
     pub fn entries(&self) -> Vec<Entry> {
         self.0.borrow().clone()
     }
 
-    /// When something was last seen of a call; quicker than [`Record::first`] for what is new.
+    /// Returns the time of the last matching observation of a call; faster than [`Record::first_seen`] for recent
+    /// ones.
     pub fn last_seen(&self, call_id: &str, wanted: impl Fn(&Observation) -> bool) -> Option<f64> {
         self.0.borrow().iter().rev().find(|e| e.call_id == call_id && wanted(&e.observation)).map(|e| e.at)
     }
 
-    /// When something was first seen of a call.
+    /// Returns the time of the first matching observation of a call.
     pub fn first_seen(&self, call_id: &str, wanted: impl Fn(&Observation) -> bool) -> Option<f64> {
         self.0.borrow().iter().find(|e| e.call_id == call_id && wanted(&e.observation)).map(|e| e.at)
     }
