--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -19,18 +19,18 @@
 #[derive(Default)]
 struct State {
     /// Pending set-ups by Call-ID, with the time at which each was written.
-    open: RefCell<BTreeMap<String, f64>>,
+    pending: RefCell<BTreeMap<String, f64>>,
     /// Call-IDs of established calls.
-    standing: RefCell<BTreeSet<String>>,
+    established: RefCell<BTreeSet<String>>,
     /// Time at which the connection was closed.
-    over: Cell<Option<f64>>,
+    closed_at: Cell<Option<f64>>,
     /// Time since which the connection has had no call.
     idle_since: Cell<f64>,
 }
 
 impl State {
-    fn look(&self) {
-        if !self.open.borrow().is_empty() || !self.standing.borrow().is_empty() {
+    fn update_idle_since(&self) {
+        if !self.pending.borrow().is_empty() || !self.established.borrow().is_empty() {
             self.idle_since.set(now());
         }
     }
@@ -43,14 +43,14 @@
     record: Record,
     stream: TcpStream,
     /// Write half; the lock is held for a whole message.
-    way_out: Rc<Mutex<TcpStream>>,
+    writer: Rc<Mutex<TcpStream>>,
     state: Rc<State>,
 }
 
 impl Caller {
     /// Connects to a proxy, counted from 0, and records every final answer and release that it sends.
     pub async fn connect(
-        tasks: &Executor,
+        executor: &Executor,
         record: &Record,
         name: &str,
         proxy: usize,
@@ -65,40 +65,40 @@
             name: name.to_owned(),
             proxy,
             record: record.clone(),
-            way_out: Rc::new(Mutex::new(stream.clone())),
+            writer: Rc::new(Mutex::new(stream.clone())),
             stream,
             state: state.clone(),
         };
         let (stream, name, record) = (caller.stream.clone(), caller.name.clone(), caller.record.clone());
-        let way_out = caller.way_out.clone();
-        let listening = async move {
-            listen(stream, &way_out, &name, proxy, &record, &state).await;
-            state.over.set(Some(now()));
+        let writer = caller.writer.clone();
+        let reading = async move {
+            read_messages(stream, &writer, &name, proxy, &record, &state).await;
+            state.closed_at.set(Some(now()));
             record.add(&name, proxy, "", Observation::CallerDisconnected);
         };
-        tasks.spawn(listening).detach();
+        executor.spawn(reading).detach();
         Ok(caller)
     }
 
     /// Returns whether the connection is open, after a short wait for a close to be noticed.
     pub async fn is_open(&self) -> bool {
         sleep(0.01).await;
-        self.state.over.get().is_none()
+        self.state.closed_at.get().is_none()
     }
 
     /// Returns the time at which the connection was closed, if it is.
     pub fn closed_at(&self) -> Option<f64> {
-        self.state.over.get()
+        self.state.closed_at.get()
     }
 
     /// Returns the time at which a set-up was written that has no final answer yet.
-    pub fn pending_since(&self, call: &str) -> Option<f64> {
-        self.state.open.borrow().get(call).copied()
+    pub fn pending_since(&self, call_id: &str) -> Option<f64> {
+        self.state.pending.borrow().get(call_id).copied()
     }
 
     /// Returns whether the connection has had no call for at least `seconds`.
     pub fn is_idle_for(&self, seconds: f64) -> bool {
-        self.state.look();
+        self.state.update_idle_since();
         now() - self.state.idle_since.get() >= seconds
     }
 
@@ -112,60 +112,60 @@
         let bytes = set_up.message().bytes();
         let pieces = bytes.chunks(piece.min(bytes.len()));
         let last = pieces.len() - 1;
-        let mut way_out = self.way_out.lock().await;
+        let mut writer = self.writer.lock().await;
         for (ix, piece) in pieces.enumerate() {
             if ix == last {
                 // The waiting time counts from the last byte.
-                self.state.open.borrow_mut().insert(set_up.call_id.clone(), now());
+                self.state.pending.borrow_mut().insert(set_up.call_id.clone(), now());
             }
-            way_out.write_all(piece).await?;
+            writer.write_all(piece).await?;
             if ix < last {
                 sleep(pause).await;
             }
         }
         let deadline = set_up.deadline_ms as f64 / 1000.0;
         self.record.add(&self.name, self.proxy, &set_up.call_id, Observation::Requested { deadline });
-        self.state.look();
+        self.state.update_idle_since();
         Ok(())
     }
 
     /// Cancels a pending set-up.
-    pub async fn cancel_set_up(&self, call: &str) -> io::Result<()> {
-        if self.state.open.borrow_mut().remove(call).is_some() {
-            self.record.add(&self.name, self.proxy, call, Observation::GaveUp);
+    pub async fn cancel_set_up(&self, call_id: &str) -> io::Result<()> {
+        if self.state.pending.borrow_mut().remove(call_id).is_some() {
+            self.record.add(&self.name, self.proxy, call_id, Observation::GaveUp);
             let cancel = Message::request("CANCEL", "sip:x@net")
                 .with("Via", "SIP/2.0/TCP peer")
-                .with("Call-ID", call)
+                .with("Call-ID", call_id)
                 .with("CSeq", "1 CANCEL");
-            messages::send(&mut *self.way_out.lock().await, &cancel).await?;
+            messages::send(&mut *self.writer.lock().await, &cancel).await?;
         }
         Ok(())
     }
 
     /// Sends a release for a call.
-    pub async fn hang_up(&self, call: &str) -> io::Result<()> {
-        self.record.add(&self.name, self.proxy, call, Observation::HungUp);
-        self.state.standing.borrow_mut().remove(call);
-        messages::send(&mut *self.way_out.lock().await, &messages::release_request(call, 16)).await
+    pub async fn hang_up(&self, call_id: &str) -> io::Result<()> {
+        self.record.add(&self.name, self.proxy, call_id, Observation::HungUp);
+        self.state.established.borrow_mut().remove(call_id);
+        messages::send(&mut *self.writer.lock().await, &messages::release_request(call_id, 16)).await
     }
 
     /// Writes raw bytes.
     pub async fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        self.way_out.lock().await.write_all(bytes).await
+        self.writer.lock().await.write_all(bytes).await
     }
 
     /// Closes the connection; pending set-ups on it are given up.
     pub fn close(&self) {
-        for call in std::mem::take(&mut *self.state.open.borrow_mut()).into_keys() {
-            self.record.add(&self.name, self.proxy, &call, Observation::GaveUp);
+        for call_id in std::mem::take(&mut *self.state.pending.borrow_mut()).into_keys() {
+            self.record.add(&self.name, self.proxy, &call_id, Observation::GaveUp);
         }
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-async fn listen(
+async fn read_messages(
     stream: TcpStream,
-    way_out: &Mutex<TcpStream>,
+    writer: &Mutex<TcpStream>,
     name: &str,
     proxy: usize,
     record: &Record,
@@ -177,28 +177,28 @@
         match (message.status(), message.method()) {
             (Some(status), _) if status >= 200 => {
                 let Some((_, "INVITE")) = message.cseq() else { continue };
-                let waited = state.open.borrow_mut().remove(&id).is_some();
+                let was_pending = state.pending.borrow_mut().remove(&id).is_some();
                 // A 487 that crosses a cancel answers a set-up that the caller no longer waits for.
-                if !waited && status == 487 {
+                if !was_pending && status == 487 {
                     continue;
                 }
                 let description = String::from_utf8_lossy(&message.body).into_owned();
                 record.add(name, proxy, &id, Observation::Answered { status, description });
                 if status == 200 {
-                    state.standing.borrow_mut().insert(id.clone());
+                    state.established.borrow_mut().insert(id.clone());
                 }
                 let ack = Message::request("ACK", "sip:x@net").with("Call-ID", &id).with("CSeq", "1 ACK");
-                let _ = messages::send(&mut *way_out.lock().await, &ack).await;
+                let _ = messages::send(&mut *writer.lock().await, &ack).await;
             }
             (_, Some("BYE")) => {
                 let cause = message.get("Reason").and_then(|r| r.rsplit_once('=')?.1.parse().ok());
-                state.standing.borrow_mut().remove(&id);
+                state.established.borrow_mut().remove(&id);
                 record.add(name, proxy, &id, Observation::ReleaseHeard(cause.unwrap_or(0)));
-                let heard = Message::response(200, "OK", &message.headers);
-                let _ = messages::send(&mut *way_out.lock().await, &heard).await;
+                let response = Message::response(200, "OK", &message.headers);
+                let _ = messages::send(&mut *writer.lock().await, &response).await;
             }
             _ => {}
         }
-        state.look();
+        state.update_idle_since();
     }
 }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -13,8 +13,8 @@
 use crate::{listener, sleep, Executor};
 
 /// Interval in seconds after which an idle connection gets a heartbeat line, which holds the last event number.
-const HEARTBEAT: f64 = 1.0;
-const LOOK: f64 = 0.005;
+const HEARTBEAT_INTERVAL_S: f64 = 1.0;
+const POLL_INTERVAL_S: f64 = 0.005;
 
 /// State of an exchange in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 }
 
 impl Lifecycle {
-    fn word(self) -> &'static str {
+    fn wire_name(self) -> &'static str {
         match self {
             Lifecycle::Ready => "ready",
             Lifecycle::Draining => "draining",
@@ -55,7 +55,7 @@
 impl RosterEntry {
     fn json(&self) -> Value {
         json!({"instanceId": self.id, "hostPort": self.addr.to_string(), "zone": "z", "machineType": "m",
-            "cell": self.number, "lifecycle": self.lifecycle.word(), "weight": 1,
+            "cell": self.number, "lifecycle": self.lifecycle.wire_name(), "weight": 1,
             "startedAtMs": self.started_at_ms})
     }
 }
@@ -70,7 +70,7 @@
 }
 
 struct Inner {
-    tasks: Executor,
+    executor: Executor,
     record: Record,
     /// Index of the proxy that this service sends the roster to, from 0.
     proxy: usize,
@@ -79,7 +79,7 @@
     condition: Cell<Condition>,
     events: RefCell<Vec<(Value, Vec<RosterEntry>)>>,
     /// Number of address changes so far; tasks that serve an earlier address end.
-    moves: Cell<u64>,
+    address_changes: Cell<u64>,
 }
 
 /// A stand-in of discovery; clones share the same state.
@@ -89,24 +89,24 @@
 impl Discovery {
     /// Starts the service with a full roster as its first event.
     pub fn start(
-        tasks: &Executor,
+        executor: &Executor,
         record: &Record,
         proxy: usize,
-        whole: &[RosterEntry],
+        full: &[RosterEntry],
     ) -> io::Result<Discovery> {
         let listener = listener::bind(([127, 0, 0, 1], 0).into())?;
         let inner = Inner {
-            tasks: tasks.clone(),
+            executor: executor.clone(),
             record: record.clone(),
             proxy,
             addr: Cell::new(listener.local_addr()?),
             listener: RefCell::new(Some(listener)),
             condition: Cell::new(Condition::Working),
             events: RefCell::default(),
-            moves: Cell::new(0),
+            address_changes: Cell::new(0),
         };
         let discovery = Discovery(Rc::new(inner));
-        discovery.publish(true, whole);
+        discovery.publish(true, full);
         discovery.accept();
         Ok(discovery)
     }
@@ -124,19 +124,20 @@
     }
 
     /// Appends an event: a full roster (`whole`), or only the entries that changed.
-    pub fn publish(&self, whole: bool, listed: &[RosterEntry]) {
+    pub fn publish(&self, full: bool, entries: &[RosterEntry]) {
         let mut events = self.0.events.borrow_mut();
-        let no = events.len() + 1;
-        let instances: Vec<Value> = listed.iter().map(RosterEntry::json).collect();
-        let event = json!({"no": no, "roster": {"generation": no, "reset": whole, "instances": instances}});
-        events.push((event, listed.to_vec()));
-        for line in listed {
-            let (exchange, ready) = (line.id.clone(), line.lifecycle == Lifecycle::Ready);
-            self.note(Observation::Published { exchange, ready });
+        let event_number = events.len() + 1;
+        let instances: Vec<Value> = entries.iter().map(RosterEntry::json).collect();
+        let event = json!({"no": event_number,
+            "roster": {"generation": event_number, "reset": full, "instances": instances}});
+        events.push((event, entries.to_vec()));
+        for entry in entries {
+            let (exchange, ready) = (entry.id.clone(), entry.lifecycle == Lifecycle::Ready);
+            self.record_event(Observation::Published { exchange, ready });
         }
     }
 
-    fn note(&self, observation: Observation) {
+    fn record_event(&self, observation: Observation) {
         self.0.record.add("discovery", self.0.proxy, "", observation);
     }
 
@@ -144,7 +145,7 @@
     pub fn change_address(&self) -> io::Result<()> {
         let listener = listener::bind(([127, 0, 0, 1], 0).into())?;
         self.0.addr.set(listener.local_addr()?);
-        self.0.moves.set(self.0.moves.get() + 1);
+        self.0.address_changes.set(self.0.address_changes.get() + 1);
         if self.0.condition.get() != Condition::Down {
             *self.0.listener.borrow_mut() = Some(listener);
             self.accept();
@@ -155,14 +156,14 @@
     /// Resets the open connections and refuses new ones from now on.
     pub fn go_down(&self) {
         self.0.condition.set(Condition::Down);
-        self.note(Observation::Reachable(false));
+        self.record_event(Observation::Reachable(false));
         self.0.listener.borrow_mut().take();
     }
 
     /// Accepts connections but sends nothing from now on.
     pub fn go_silent(&self) {
         self.0.condition.set(Condition::Silent);
-        self.note(Observation::Reachable(false));
+        self.record_event(Observation::Reachable(false));
     }
 
     /// Ends [`Discovery::go_down`] and [`Discovery::go_silent`].
@@ -174,67 +175,74 @@
             self.accept();
         }
         self.0.condition.set(Condition::Working);
-        self.note(Observation::Reachable(true));
+        self.record_event(Observation::Reachable(true));
         Ok(())
     }
 
     fn accept(&self) {
         let discovery = self.clone();
-        let accepting = async move {
+        let accept_loop = async move {
             let Some(listener) = discovery.0.listener.borrow().clone() else { return };
-            let moves = discovery.0.moves.get();
+            let address_changes = discovery.0.address_changes.get();
             loop {
                 let accepted = smol::future::or(async { listener.accept().await.ok() }, async {
-                    while discovery.0.condition.get() != Condition::Down && discovery.0.moves.get() == moves {
-                        sleep(LOOK).await;
+                    while discovery.0.condition.get() != Condition::Down
+                        && discovery.0.address_changes.get() == address_changes
+                    {
+                        sleep(POLL_INTERVAL_S).await;
                     }
                     None
                 });
                 let Some((stream, _)) = accepted.await else { return };
-                let served = discovery.clone();
-                discovery.0.tasks.spawn(async move { drop(served.serve(stream, moves).await) }).detach();
+                let serving = discovery.clone();
+                discovery
+                    .0
+                    .executor
+                    .spawn(async move { drop(serving.serve(stream, address_changes).await) })
+                    .detach();
             }
         };
-        self.0.tasks.spawn(accepting).detach();
+        self.0.executor.spawn(accept_loop).detach();
     }
 
     /// Waits until the service may send; returns an error if the connection must end.
-    async fn may_speak(&self, moves: u64) -> io::Result<()> {
+    async fn wait_until_sending_allowed(&self, address_changes: u64) -> io::Result<()> {
         loop {
-            if self.0.moves.get() != moves {
+            if self.0.address_changes.get() != address_changes {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             match self.0.condition.get() {
                 Condition::Working => return Ok(()),
                 Condition::Down => return Err(io::ErrorKind::ConnectionReset.into()),
-                Condition::Silent => sleep(LOOK).await,
+                Condition::Silent => sleep(POLL_INTERVAL_S).await,
             }
         }
     }
 
-    async fn serve(&self, mut stream: TcpStream, moves: u64) -> io::Result<()> {
-        let mut asked = String::new();
-        BufReader::new(stream.clone()).read_line(&mut asked).await?;
-        let after = asked.trim().strip_prefix("after ").and_then(|no| no.parse::<usize>().ok());
-        let mut said = after.ok_or(io::ErrorKind::InvalidData)?;
-        let mut spoken = now();
+    async fn serve(&self, mut stream: TcpStream, address_changes: u64) -> io::Result<()> {
+        let mut request = String::new();
+        BufReader::new(stream.clone()).read_line(&mut request).await?;
+        let after =
+            request.trim().strip_prefix("after ").and_then(|event_number| event_number.parse::<usize>().ok());
+        let mut last_sent = after.ok_or(io::ErrorKind::InvalidData)?;
+        let mut last_write_at = now();
         loop {
-            self.may_speak(moves).await?;
-            let new: Vec<_> = self.0.events.borrow().iter().skip(said).cloned().collect();
-            for (event, listed) in new {
-                said += 1;
+            self.wait_until_sending_allowed(address_changes).await?;
+            let unsent: Vec<_> = self.0.events.borrow().iter().skip(last_sent).cloned().collect();
+            for (event, entries) in unsent {
+                last_sent += 1;
                 stream.write_all(format!("{event}\n").as_bytes()).await?;
-                spoken = now();
-                for line in listed {
-                    let ready = line.lifecycle == Lifecycle::Ready;
-                    self.note(Observation::Told { exchange: line.id, ready });
+                last_write_at = now();
+                for entry in entries {
+                    let ready = entry.lifecycle == Lifecycle::Ready;
+                    self.record_event(Observation::Told { exchange: entry.id, ready });
                 }
             }
-            if now() - spoken >= HEARTBEAT {
-                stream.write_all(format!("{said}\n").as_bytes()).await?;
-                spoken = now();
+            if now() - last_write_at >= HEARTBEAT_INTERVAL_S {
+                stream.write_all(format!("{last_sent}\n").as_bytes()).await?;
+                last_write_at = now();
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL_S).await;
         }
     }
 }
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -24,7 +24,7 @@
                 self.occupy_circuit(port_index);
                 let exchange = self.clone();
                 let run = async move { exchange.run_call(port_index, connection, message).await };
-                self.0.tasks.spawn(run).detach();
+                self.0.executor.spawn(run).detach();
             }
             Some("CANCEL") if self.is_pending(&id) => {
                 self.record_call_event(port_index, &id, Observation::SetUpCancelled);
@@ -94,7 +94,7 @@
                 sleep(SECOND_COPY_DELAY_S).await;
                 exchange.write(port_index, connection, &answer);
             };
-            self.0.tasks.spawn(second_copy).detach();
+            self.0.executor.spawn(second_copy).detach();
         }
     }
 
--- a/crates/standin/src/exchange/faults.rs
+++ b/crates/standin/src/exchange/faults.rs
@@ -83,7 +83,7 @@
                 exchange.send_delayed_releases(port_index);
             }
         };
-        self.0.tasks.spawn(sending).detach();
+        self.0.executor.spawn(sending).detach();
     }
 
     /// Crashes the process: its connections are reset, its calls are cut and new connections are refused.
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -71,7 +71,7 @@
 }
 
 struct Inner {
-    tasks: Executor,
+    executor: Executor,
     record: Record,
     name: String,
     number: i64,
@@ -108,7 +108,7 @@
 impl Exchange {
     /// Starts an exchange with the given number that listens on one address per proxy.
     pub fn start(
-        tasks: &Executor,
+        executor: &Executor,
         record: &Record,
         name: &str,
         number: i64,
@@ -128,7 +128,7 @@
             });
         }
         let exchange = Exchange(Rc::new(Inner {
-            tasks: tasks.clone(),
+            executor: executor.clone(),
             record: record.clone(),
             name: name.to_owned(),
             number,
@@ -198,7 +198,7 @@
     fn accept_on_all_ports(&self) {
         for port_index in 0..self.0.ports.len() {
             let (exchange, generation) = (self.clone(), self.0.generation.get());
-            self.0.tasks.spawn(async move { exchange.accept(port_index, generation).await }).detach();
+            self.0.executor.spawn(async move { exchange.accept(port_index, generation).await }).detach();
         }
     }
 
@@ -215,7 +215,7 @@
             let Some((stream, _)) = accepted.await else { return };
             let exchange = self.clone();
             let serving = async move { exchange.serve(port_index, stream, generation).await };
-            self.0.tasks.spawn(serving).detach();
+            self.0.executor.spawn(serving).detach();
             self.wait_until_working(generation).await;
         }
     }
@@ -244,7 +244,7 @@
         port.connections.borrow_mut().insert(connection, Connection { stream: stream.clone(), outgoing });
         let (exchange, writer) = (self.clone(), stream.clone());
         let writing = async move { exchange.write_queued(connection, writer, queue).await };
-        self.0.tasks.spawn(writing).detach();
+        self.0.executor.spawn(writing).detach();
         self.write(port_index, connection, &self.trunk_group_state(port_index));
         for message in port.releases_for_next_connection.borrow_mut().drain(..) {
             self.record_call_event(port_index, &call_id(&message), Observation::ReleaseSent);
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -20,9 +20,9 @@
 
 /// Runs one trial on the current thread and returns its result.
 pub fn run<T>(trial: impl AsyncFnOnce(Executor) -> T) -> T {
-    let tasks: Executor = Rc::new(smol::LocalExecutor::new());
-    let inner = tasks.clone();
-    smol::block_on(tasks.run(trial(inner)))
+    let executor: Executor = Rc::new(smol::LocalExecutor::new());
+    let inner = executor.clone();
+    smol::block_on(executor.run(trial(inner)))
 }
 
 /// Waits for a number of seconds; a negative number counts as 0.
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -19,11 +19,11 @@
 use crate::sleep;
 
 /// Time in seconds after which an unanswered OPTIONS request has failed.
-const TEST_WITHIN: f64 = 1.0;
+const OPTIONS_TIMEOUT_S: f64 = 1.0;
 /// The port of every proxy; each proxy has its own IP address.
-const PORT: u16 = 2905;
+const LISTEN_PORT: u16 = 2905;
 /// Interval in seconds at which the process is polled.
-const LOOK: f64 = 0.01;
+const POLL_INTERVAL_S: f64 = 0.01;
 
 /// Configuration of a proxy at its start.
 #[derive(Clone, Debug)]
@@ -68,10 +68,10 @@
 
 /// A running proxy; its process is killed on drop.
 pub struct Proxy {
-    setup: ProxyConfig,
+    config: ProxyConfig,
     /// The address on which the proxy accepts callers.
     pub listen: SocketAddr,
-    folder: PathBuf,
+    directory: PathBuf,
     child: Child,
 }
 
@@ -79,24 +79,24 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        forget(self.child.id());
-        let _ = std::fs::remove_dir_all(&self.folder);
+        unregister(self.child.id());
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 impl Proxy {
     /// Starts the program.
-    pub fn start(program: &Path, setup: &ProxyConfig, discovery: &Discovery) -> io::Result<Proxy> {
-        let listen = own_address();
-        let folder = std::env::temp_dir().join(format!(
+    pub fn start(program: &Path, config: &ProxyConfig, discovery: &Discovery) -> io::Result<Proxy> {
+        let listen = unused_loopback_address();
+        let directory = std::env::temp_dir().join(format!(
             "mallowring-{}-{}-{}",
             std::process::id(),
-            setup.name,
+            config.name,
             listen.ip()
         ));
-        std::fs::create_dir_all(&folder)?;
-        let child = spawn(program, setup, listen, &folder, discovery)?;
-        Ok(Proxy { setup: setup.clone(), listen, folder, child })
+        std::fs::create_dir_all(&directory)?;
+        let child = spawn(program, config, listen, &directory, discovery)?;
+        Ok(Proxy { config: config.clone(), listen, directory, child })
     }
 
     /// Returns the process id.
@@ -106,29 +106,29 @@
 
     /// Waits until the proxy answers an OPTIONS request; returns whether it did within the time.
     pub async fn is_ready_within(&self, seconds: f64) -> bool {
-        let until = now() + seconds;
-        while now() < until {
+        let deadline = now() + seconds;
+        while now() < deadline {
             if Proxy::answers_options(self.listen).await.unwrap_or(false) {
                 return true;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL_S).await;
         }
         false
     }
 
     /// Returns whether the proxy at an address answers an OPTIONS request with 200.
     pub async fn answers_options(listen: SocketAddr) -> io::Result<bool> {
-        let test = async {
+        let check = async {
             let mut stream = TcpStream::connect(listen).await?;
             messages::send(&mut stream, &messages::options_request()).await?;
             let answer = MessageReader::new(stream).next().await;
             Ok(answer.and_then(|message| message.status()) == Some(200))
         };
-        let late = async {
-            sleep(TEST_WITHIN).await;
+        let timeout = async {
+            sleep(OPTIONS_TIMEOUT_S).await;
             Ok(false)
         };
-        smol::future::or(test, late).await
+        smol::future::or(check, timeout).await
     }
 
     /// Sends a signal to the process.
@@ -140,7 +140,10 @@
 
     /// Replaces the configuration file; the proxy reads it again on SIGHUP.
     pub fn write_config(&self, discovery: &Discovery) -> io::Result<()> {
-        std::fs::write(self.folder.join("config.json"), self.setup.json(self.listen, discovery).to_string())
+        std::fs::write(
+            self.directory.join("config.json"),
+            self.config.json(self.listen, discovery).to_string(),
+        )
     }
 
     /// Returns whether the process exited with success; `None` while it runs.
@@ -150,14 +153,14 @@
 
     /// Starts the program again with the same name and address, after the process has exited.
     pub fn restart(&mut self, program: &Path, discovery: &Discovery) -> io::Result<()> {
-        forget(self.child.id());
-        self.child = spawn(program, &self.setup, self.listen, &self.folder, discovery)?;
+        unregister(self.child.id());
+        self.child = spawn(program, &self.config, self.listen, &self.directory, discovery)?;
         Ok(())
     }
 
     /// Replaces the configuration file by one that cannot be parsed.
     pub fn write_invalid_config(&self) -> io::Result<()> {
-        std::fs::write(self.folder.join("config.json"), "{\"listen\": 7")
+        std::fs::write(self.directory.join("config.json"), "{\"listen\": 7")
     }
 
     /// Returns the time that the main thread has waited for a CPU, in nanoseconds (`/proc/PID/schedstat`).
@@ -168,12 +171,12 @@
 
     /// Waits for the process to exit; returns `None` if it still runs after the time.
     pub async fn wait_for_exit(&mut self, seconds: f64) -> Option<ExitStatus> {
-        let until = now() + seconds;
+        let deadline = now() + seconds;
         loop {
             match self.child.try_wait() {
                 Ok(Some(status)) => return Some(status),
-                _ if now() >= until => return None,
-                _ => sleep(LOOK).await,
+                _ if now() >= deadline => return None,
+                _ => sleep(POLL_INTERVAL_S).await,
             }
         }
     }
@@ -195,58 +198,58 @@
 
     /// Returns the log of the process.
     pub fn log(&self) -> String {
-        std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
+        std::fs::read_to_string(self.directory.join("log")).unwrap_or_default()
     }
 }
 
 /// Returns a loopback IP address that no other proxy uses. A fixed IP address with a free port would not be safe: a
 /// port that was free a moment ago may have been taken by another process.
-fn own_address() -> SocketAddr {
+fn unused_loopback_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (process, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let octets = [127, 64 + (process >> 8) as u8 % 64, process as u8, number as u8];
-    (octets, PORT).into()
+    (octets, LISTEN_PORT).into()
 }
 
 fn spawn(
     program: &Path,
-    setup: &ProxyConfig,
+    config: &ProxyConfig,
     listen: SocketAddr,
-    folder: &Path,
+    directory: &Path,
     discovery: &Discovery,
 ) -> io::Result<Child> {
-    let config = folder.join("config.json");
-    std::fs::write(&config, setup.json(listen, discovery).to_string())?;
-    let log = File::create(folder.join("log"))?;
+    let config_path = directory.join("config.json");
+    std::fs::write(&config_path, config.json(listen, discovery).to_string())?;
+    let log = File::create(directory.join("log"))?;
     let child = Command::new(program)
         .env_clear()
-        .env("NODE_CONFIG", &config)
-        .env("NODE_NAME", &setup.name)
+        .env("NODE_CONFIG", &config_path)
+        .env("NODE_NAME", &config.name)
         .env("NODE_LISTEN", listen.to_string())
-        .env("TMPDIR", folder)
+        .env("TMPDIR", directory)
         .env("MALLOWRING_LOG", "debug")
         .stdout(log.try_clone()?)
         .stderr(log)
         .spawn()?;
-    if let Ok(mut running) = RUNNING.lock() {
-        running.insert(child.id());
+    if let Ok(mut process_ids) = RUNNING_PROCESSES.lock() {
+        process_ids.insert(child.id());
     }
     Ok(child)
 }
 
 /// Ids of the running processes, for [`kill_all`].
-static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
+static RUNNING_PROCESSES: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-fn forget(id: u32) {
-    if let Ok(mut running) = RUNNING.lock() {
-        running.remove(&id);
+fn unregister(id: u32) {
+    if let Ok(mut process_ids) = RUNNING_PROCESSES.lock() {
+        process_ids.remove(&id);
     }
 }
 
 /// Kills every proxy that this program has started; used when the program is interrupted.
 pub fn kill_all() {
-    let Ok(running) = RUNNING.lock() else { return };
-    for id in running.iter().filter_map(|id| Pid::from_raw(i32::try_from(*id).ok()?)) {
+    let Ok(process_ids) = RUNNING_PROCESSES.lock() else { return };
+    for id in process_ids.iter().filter_map(|id| Pid::from_raw(i32::try_from(*id).ok()?)) {
         // The process may have exited already; the error is ignored.
         let _ = kill_process(id, Signal::KILL);
     }
