--- a/crates/standin/examples/footprint.rs
+++ b/crates/standin/examples/footprint.rs
@@ -13,10 +13,11 @@
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::{run, sleep, Executor};
 
-/// Number of concurrent callers, and the exchange_count of calls that each makes.
+/// Number of concurrent callers, and the number of calls that each makes.
 const CALLERS: u64 = 20;
 const CALLS_PER_CALLER: u64 = 150;
 
+/// Measures one proxy among `exchange_count` exchanges and prints a row of the table.
 async fn measure(
     executor: Executor,
     program: &Path,
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -14,6 +14,7 @@
 
 /// Interval in seconds after which an idle connection gets a heartbeat line, which holds the last event number.
 const HEARTBEAT_INTERVAL_S: f64 = 1.0;
+/// Interval in seconds at which tasks check for changes.
 const POLL_INTERVAL_S: f64 = 0.005;
 
 /// State of an exchange in the roster.
@@ -60,8 +61,10 @@
     }
 }
 
+/// State of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Condition {
+    /// The service works.
     Working,
     /// Connections are accepted but nothing is sent.
     Silent,
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -64,6 +64,7 @@
     circuits_used: Cell<u32>,
 }
 
+/// A pending set-up or an established call.
 struct Call {
     port: usize,
     connection: u64,
