--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -11,7 +11,7 @@
 use mallowring_standin::proxy::kill_all;
 use smol::stream::StreamExt;
 
-use crate::fault::Kind;
+use crate::fault::FaultKind;
 use crate::judge::{judge, Verdict, RULES};
 use crate::plan::{Options, Plan};
 use crate::report::{self, Total};
@@ -80,7 +80,7 @@
     program: PathBuf,
     /// Only these faults, by name, with commas between.
     #[arg(long, value_delimiter = ',')]
-    only: Vec<Kind>,
+    only: Vec<FaultKind>,
     /// The most seconds of load.
     #[arg(long)]
     seconds: Option<f64>,
@@ -131,7 +131,7 @@
         Command::Replay { seed, common } => replay(seed, &common, None),
         Command::Explain { seed, call, common } => replay(seed, &common, Some(&call)),
         Command::ListFaults => {
-            Kind::ALL.iter().for_each(|kind| println!("{}", kind.name()));
+            FaultKind::ALL.iter().for_each(|kind| println!("{}", kind.name()));
             RULES.iter().for_each(|rule| println!("rule '{}': {}", rule.name, rule.source));
             ExitCode::SUCCESS
         }
@@ -175,7 +175,7 @@
         let seed =
             words.next().and_then(|seed| seed.parse().ok()).ok_or_else(|| bad("it begins with no seed"))?;
         let faults = words.next().ok_or_else(|| bad("it names no faults"))?;
-        let only: Result<Vec<Kind>, String> = faults.split(',').map(str::parse).collect();
+        let only: Result<Vec<FaultKind>, String> = faults.split(',').map(str::parse).collect();
         let options = Options { only: only.map_err(|what| bad(&what))?, most_seconds: None };
         trials.push(Trial { seed, options });
     }
--- a/crates/soak/src/coverage.rs
+++ b/crates/soak/src/coverage.rs
@@ -5,7 +5,7 @@
 use mallowring_standin::record::now;
 use serde::Serialize;
 
-use crate::fault::Kind;
+use crate::fault::FaultKind;
 
 /// What calls a fault met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -28,15 +28,15 @@
 /// Counts over one trial or many.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Coverage {
-    met: BTreeMap<Kind, BTreeMap<State, u64>>,
-    overlaps: BTreeMap<Kind, u64>,
+    met: BTreeMap<FaultKind, BTreeMap<State, u64>>,
+    overlaps: BTreeMap<FaultKind, u64>,
     #[serde(skip)]
-    under_way: Vec<(Kind, f64)>,
+    under_way: Vec<(FaultKind, f64)>,
 }
 
 impl Coverage {
     /// A fault begins and lasts until a time.
-    pub fn begins(&mut self, kind: Kind, until: f64) {
+    pub fn begins(&mut self, kind: FaultKind, until: f64) {
         let at = now();
         self.under_way.retain(|(_, until)| *until > at);
         if !self.under_way.is_empty() {
@@ -46,7 +46,7 @@
     }
 
     /// A fault met a state.
-    pub fn met(&mut self, kind: Kind, state: State) {
+    pub fn met(&mut self, kind: FaultKind, state: State) {
         *self.met.entry(kind).or_default().entry(state).or_insert(0) += 1;
     }
 
@@ -63,12 +63,12 @@
     }
 
     /// How often a fault met a state.
-    pub fn count(&self, kind: Kind, state: State) -> u64 {
+    pub fn count(&self, kind: FaultKind, state: State) -> u64 {
         self.met.get(&kind).and_then(|states| states.get(&state)).copied().unwrap_or(0)
     }
 
     /// How often a fault began while another one was under way.
-    pub fn overlaps(&self, kind: Kind) -> u64 {
+    pub fn overlaps(&self, kind: FaultKind) -> u64 {
         self.overlaps.get(&kind).copied().unwrap_or(0)
     }
 }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -7,7 +7,7 @@
 /// A kind of fault, by its name on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// An exchange vanishes with its calls; later discovery says that it is gone, and another one takes its number.
     Vanish,
     /// An exchange is cut off for a while and comes back with its calls.
@@ -62,80 +62,82 @@
     Crowd,
 }
 
-impl Kind {
+impl FaultKind {
     /// All kinds.
-    pub const ALL: [Kind; 26] = [
-        Kind::Vanish,
-        Kind::CutOff,
-        Kind::Hang,
-        Kind::Die,
-        Kind::RestartAtOnce,
-        Kind::ReplaceAtAddress,
-        Kind::Drain,
-        Kind::AnswersLate,
-        Kind::AnswersTwice,
-        Kind::AnswersSpoilt,
-        Kind::Pieces,
-        Kind::AcceptsLate,
-        Kind::ReleasesElsewhere,
-        Kind::Reset,
-        Kind::Close,
-        Kind::SilentConnection,
-        Kind::DiscoveryDown,
-        Kind::DiscoverySilent,
-        Kind::DiscoveryMoves,
-        Kind::Terminate,
-        Kind::Kill,
-        Kind::GiveUpEarly,
-        Kind::CallersReturn,
-        Kind::SlowWriters,
-        Kind::BadCallers,
-        Kind::Crowd,
+    pub const ALL: [FaultKind; 26] = [
+        FaultKind::Vanish,
+        FaultKind::CutOff,
+        FaultKind::Hang,
+        FaultKind::Die,
+        FaultKind::RestartAtOnce,
+        FaultKind::ReplaceAtAddress,
+        FaultKind::Drain,
+        FaultKind::AnswersLate,
+        FaultKind::AnswersTwice,
+        FaultKind::AnswersSpoilt,
+        FaultKind::Pieces,
+        FaultKind::AcceptsLate,
+        FaultKind::ReleasesElsewhere,
+        FaultKind::Reset,
+        FaultKind::Close,
+        FaultKind::SilentConnection,
+        FaultKind::DiscoveryDown,
+        FaultKind::DiscoverySilent,
+        FaultKind::DiscoveryMoves,
+        FaultKind::Terminate,
+        FaultKind::Kill,
+        FaultKind::GiveUpEarly,
+        FaultKind::CallersReturn,
+        FaultKind::SlowWriters,
+        FaultKind::BadCallers,
+        FaultKind::Crowd,
     ];
 
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Vanish => "vanish",
-            Kind::CutOff => "cut-off",
-            Kind::Hang => "hang",
-            Kind::Die => "die",
-            Kind::RestartAtOnce => "restart-at-once",
-            Kind::ReplaceAtAddress => "replace-at-address",
-            Kind::Drain => "drain",
-            Kind::AnswersLate => "answers-late",
-            Kind::AnswersTwice => "answers-twice",
-            Kind::AnswersSpoilt => "answers-spoilt",
-            Kind::Pieces => "pieces",
-            Kind::AcceptsLate => "accepts-late",
-            Kind::ReleasesElsewhere => "releases-elsewhere",
-            Kind::Reset => "reset",
-            Kind::Close => "close",
-            Kind::SilentConnection => "silent-connection",
-            Kind::DiscoveryDown => "discovery-down",
-            Kind::DiscoverySilent => "discovery-silent",
-            Kind::DiscoveryMoves => "discovery-moves",
-            Kind::Terminate => "terminate",
-            Kind::Kill => "kill",
-            Kind::GiveUpEarly => "give-up-early",
-            Kind::CallersReturn => "callers-return",
-            Kind::SlowWriters => "slow-writers",
-            Kind::BadCallers => "bad-callers",
-            Kind::Crowd => "crowd",
+            FaultKind::Vanish => "vanish",
+            FaultKind::CutOff => "cut-off",
+            FaultKind::Hang => "hang",
+            FaultKind::Die => "die",
+            FaultKind::RestartAtOnce => "restart-at-once",
+            FaultKind::ReplaceAtAddress => "replace-at-address",
+            FaultKind::Drain => "drain",
+            FaultKind::AnswersLate => "answers-late",
+            FaultKind::AnswersTwice => "answers-twice",
+            FaultKind::AnswersSpoilt => "answers-spoilt",
+            FaultKind::Pieces => "pieces",
+            FaultKind::AcceptsLate => "accepts-late",
+            FaultKind::ReleasesElsewhere => "releases-elsewhere",
+            FaultKind::Reset => "reset",
+            FaultKind::Close => "close",
+            FaultKind::SilentConnection => "silent-connection",
+            FaultKind::DiscoveryDown => "discovery-down",
+            FaultKind::DiscoverySilent => "discovery-silent",
+            FaultKind::DiscoveryMoves => "discovery-moves",
+            FaultKind::Terminate => "terminate",
+            FaultKind::Kill => "kill",
+            FaultKind::GiveUpEarly => "give-up-early",
+            FaultKind::CallersReturn => "callers-return",
+            FaultKind::SlowWriters => "slow-writers",
+            FaultKind::BadCallers => "bad-callers",
+            FaultKind::Crowd => "crowd",
         }
     }
 
     /// What it hits.
     pub fn target(self) -> Target {
         match self {
-            Kind::DiscoveryDown | Kind::DiscoverySilent | Kind::DiscoveryMoves => Target::Discovery,
-            Kind::Terminate
-            | Kind::Kill
-            | Kind::GiveUpEarly
-            | Kind::CallersReturn
-            | Kind::SlowWriters
-            | Kind::BadCallers
-            | Kind::Crowd => Target::Proxy,
+            FaultKind::DiscoveryDown | FaultKind::DiscoverySilent | FaultKind::DiscoveryMoves => {
+                Target::Discovery
+            }
+            FaultKind::Terminate
+            | FaultKind::Kill
+            | FaultKind::GiveUpEarly
+            | FaultKind::CallersReturn
+            | FaultKind::SlowWriters
+            | FaultKind::BadCallers
+            | FaultKind::Crowd => Target::Proxy,
             _ => Target::Exchange,
         }
     }
@@ -143,19 +145,19 @@
     /// How long it may last, in seconds, from the shortest to the longest.
     pub fn lasts(self) -> (f64, f64) {
         match self {
-            Kind::Vanish => (4.0, 14.0),
-            Kind::CutOff => (0.3, 6.0),
-            Kind::Hang => (0.3, 12.0),
-            Kind::Die | Kind::ReplaceAtAddress => (0.2, 4.0),
-            Kind::Drain => (1.0, 4.0),
-            Kind::DiscoveryDown | Kind::DiscoverySilent => (1.0, 9.0),
-            Kind::RestartAtOnce
-            | Kind::Reset
-            | Kind::Close
-            | Kind::DiscoveryMoves
-            | Kind::Kill
-            | Kind::Terminate => (0.1, 0.5),
-            Kind::SilentConnection => (1.0, 6.0),
+            FaultKind::Vanish => (4.0, 14.0),
+            FaultKind::CutOff => (0.3, 6.0),
+            FaultKind::Hang => (0.3, 12.0),
+            FaultKind::Die | FaultKind::ReplaceAtAddress => (0.2, 4.0),
+            FaultKind::Drain => (1.0, 4.0),
+            FaultKind::DiscoveryDown | FaultKind::DiscoverySilent => (1.0, 9.0),
+            FaultKind::RestartAtOnce
+            | FaultKind::Reset
+            | FaultKind::Close
+            | FaultKind::DiscoveryMoves
+            | FaultKind::Kill
+            | FaultKind::Terminate => (0.1, 0.5),
+            FaultKind::SilentConnection => (1.0, 6.0),
             _ => (1.0, 5.0),
         }
     }
@@ -172,11 +174,11 @@
     Discovery,
 }
 
-impl FromStr for Kind {
+impl FromStr for FaultKind {
     type Err = String;
 
-    fn from_str(name: &str) -> Result<Kind, String> {
-        let known = Kind::ALL.into_iter().find(|kind| kind.name() == name);
+    fn from_str(name: &str) -> Result<FaultKind, String> {
+        let known = FaultKind::ALL.into_iter().find(|kind| kind.name() == name);
         known.ok_or_else(|| format!("'{name}' is no fault; list-faults names them"))
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-use crate::fault::{Kind, Target};
+use crate::fault::{FaultKind, Target};
 
 /// One call as its caller wants it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -35,7 +35,7 @@
     /// For so many seconds.
     pub lasts: f64,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Which exchange or proxy, from 0; nothing where it hits discovery.
     pub target: usize,
 }
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// Only faults of these kinds; of all where there is none.
-    pub only: Vec<Kind>,
+    pub only: Vec<FaultKind>,
     /// Seconds of load at the most.
     pub most_seconds: Option<f64>,
 }
@@ -137,16 +137,16 @@
 
     /// Bursts of two to four faults that overlap, and some alone.
     fn draw_faults(&self, rng: &mut Pcg64Mcg, options: &Options) -> Vec<PlannedFault> {
-        let kinds: Vec<Kind> = match options.only.is_empty() {
-            true => Kind::ALL.to_vec(),
+        let kinds: Vec<FaultKind> = match options.only.is_empty() {
+            true => FaultKind::ALL.to_vec(),
             false => options.only.clone(),
         };
         let mut faults = Vec::new();
         let mut start: f64 = rng.random_range(1.0..3.0);
         while start < self.seconds - 1.0 {
             // Signals come in series.
-            let series = rng.random_range(0..4) == 0 && kinds.contains(&Kind::Terminate);
-            let kind_of_series = if series { Some(Kind::Terminate) } else { None };
+            let series = rng.random_range(0..4) == 0 && kinds.contains(&FaultKind::Terminate);
+            let kind_of_series = if series { Some(FaultKind::Terminate) } else { None };
             for n in 0..rng.random_range(1..=4) {
                 let drawn = kinds[rng.random_range(0..kinds.len())];
                 let kind = kind_of_series.filter(|_| n > 0).unwrap_or(drawn);
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::coverage::{Coverage, State};
-use crate::fault::Kind;
+use crate::fault::FaultKind;
 use crate::judge::{Breach, Verdict, RULES};
 use crate::plan::Plan;
 use crate::trial::Played;
@@ -70,7 +70,7 @@
         let mut met = Table::new();
         met.load_preset(ASCII_MARKDOWN);
         met.set_header(["fault", "no call", "set-up out", "standing", "in release", "overlaps"]);
-        for kind in Kind::ALL {
+        for kind in FaultKind::ALL {
             let mut row = vec![kind.name().to_owned()];
             row.extend(State::ALL.iter().map(|state| self.coverage.count(kind, *state).to_string()));
             row.push(self.coverage.overlaps(kind).to_string());
--- a/crates/soak/src/trial/faults.rs
+++ b/crates/soak/src/trial/faults.rs
@@ -10,7 +10,7 @@
 
 use super::{unix_ms, Stage};
 use crate::coverage::State;
-use crate::fault::Kind;
+use crate::fault::FaultKind;
 use crate::plan::PlannedFault;
 
 /// Connections of a crowd.
@@ -26,40 +26,42 @@
         let until = self.began.get() + fault.at + fault.lasts;
         self.coverage.borrow_mut().begins(fault.kind, until);
         match fault.kind {
-            Kind::Vanish
-            | Kind::CutOff
-            | Kind::Hang
-            | Kind::Die
-            | Kind::RestartAtOnce
-            | Kind::ReplaceAtAddress
-            | Kind::Drain => self.change_exchange(&fault).await,
-            Kind::AnswersLate
-            | Kind::AnswersTwice
-            | Kind::AnswersSpoilt
-            | Kind::Pieces
-            | Kind::AcceptsLate
-            | Kind::ReleasesElsewhere => self.misbehave(&fault).await,
-            Kind::Reset | Kind::Close | Kind::SilentConnection => self.spoil_connections(&fault),
-            Kind::DiscoveryDown | Kind::DiscoverySilent => self.stop_discovery(&fault).await,
-            Kind::DiscoveryMoves => self.move_discovery().await,
-            Kind::Terminate => {
+            FaultKind::Vanish
+            | FaultKind::CutOff
+            | FaultKind::Hang
+            | FaultKind::Die
+            | FaultKind::RestartAtOnce
+            | FaultKind::ReplaceAtAddress
+            | FaultKind::Drain => self.change_exchange(&fault).await,
+            FaultKind::AnswersLate
+            | FaultKind::AnswersTwice
+            | FaultKind::AnswersSpoilt
+            | FaultKind::Pieces
+            | FaultKind::AcceptsLate
+            | FaultKind::ReleasesElsewhere => self.misbehave(&fault).await,
+            FaultKind::Reset | FaultKind::Close | FaultKind::SilentConnection => {
+                self.spoil_connections(&fault)
+            }
+            FaultKind::DiscoveryDown | FaultKind::DiscoverySilent => self.stop_discovery(&fault).await,
+            FaultKind::DiscoveryMoves => self.move_discovery().await,
+            FaultKind::Terminate => {
                 let (slot, discovery) = (&self.proxies[fault.target], &self.discoveries[fault.target]);
                 slot.terminate(self.plan.kill_after(), discovery).await;
             }
-            Kind::Kill => self.proxies[fault.target].kill(&self.discoveries[fault.target]).await,
-            Kind::GiveUpEarly => {
+            FaultKind::Kill => self.proxies[fault.target].kill(&self.discoveries[fault.target]).await,
+            FaultKind::GiveUpEarly => {
                 self.pools[fault.target].impatient.set(true);
                 sleep(fault.lasts).await;
                 self.pools[fault.target].impatient.set(false);
             }
-            Kind::SlowWriters => {
+            FaultKind::SlowWriters => {
                 self.pools[fault.target].slow.set(true);
                 sleep(fault.lasts).await;
                 self.pools[fault.target].slow.set(false);
             }
-            Kind::CallersReturn => self.pools[fault.target].close_all(),
-            Kind::BadCallers => self.bad_callers(fault.target).await,
-            Kind::Crowd => self.crowd(fault.target),
+            FaultKind::CallersReturn => self.pools[fault.target].close_all(),
+            FaultKind::BadCallers => self.bad_callers(fault.target).await,
+            FaultKind::Crowd => self.crowd(fault.target),
         }
     }
 
@@ -88,33 +90,33 @@
         }
         let exchange = self.exchanges.borrow()[fault.target].clone();
         match fault.kind {
-            Kind::CutOff => {
+            FaultKind::CutOff => {
                 exchange.cut_off();
                 sleep(fault.lasts).await;
                 exchange.resume();
             }
-            Kind::Hang => {
+            FaultKind::Hang => {
                 exchange.hang();
                 sleep(fault.lasts).await;
                 exchange.resume();
             }
-            Kind::Vanish => {
+            FaultKind::Vanish => {
                 exchange.vanish();
                 sleep(fault.lasts).await;
                 self.succeed(fault.target, &exchange);
             }
-            Kind::Drain => {
+            FaultKind::Drain => {
                 self.publish(&[(exchange.clone(), Lifecycle::Draining, 0)]);
                 sleep(fault.lasts).await;
                 exchange.stop();
                 self.succeed(fault.target, &exchange);
             }
-            Kind::Die => {
+            FaultKind::Die => {
                 exchange.crash();
                 sleep(fault.lasts).await;
                 self.same_again(&exchange).await;
             }
-            Kind::ReplaceAtAddress => {
+            FaultKind::ReplaceAtAddress => {
                 exchange.vanish();
                 sleep(fault.lasts).await;
                 self.same_again(&exchange).await;
@@ -157,11 +159,11 @@
         let exchange = self.exchanges.borrow()[fault.target].clone();
         let calm = Misbehaviour::default();
         exchange.set_misbehaviour(match fault.kind {
-            Kind::AnswersLate => Misbehaviour { answer_delay: self.plan.give_up * 0.7, ..calm },
-            Kind::AnswersTwice => Misbehaviour { duplicate_answers: true, ..calm },
-            Kind::AnswersSpoilt => Misbehaviour { malformed_answers: true, ..calm },
-            Kind::Pieces => Misbehaviour { fragmented_writes: true, ..calm },
-            Kind::AcceptsLate => Misbehaviour { accept_delay: 0.8, ..calm },
+            FaultKind::AnswersLate => Misbehaviour { answer_delay: self.plan.give_up * 0.7, ..calm },
+            FaultKind::AnswersTwice => Misbehaviour { duplicate_answers: true, ..calm },
+            FaultKind::AnswersSpoilt => Misbehaviour { malformed_answers: true, ..calm },
+            FaultKind::Pieces => Misbehaviour { fragmented_writes: true, ..calm },
+            FaultKind::AcceptsLate => Misbehaviour { accept_delay: 0.8, ..calm },
             _ => Misbehaviour { releases_on_other_connection: true, ..calm },
         });
         sleep(fault.lasts).await;
@@ -172,8 +174,8 @@
         let exchange = self.exchanges.borrow()[fault.target].clone();
         for proxy in 0..self.plan.proxies {
             match fault.kind {
-                Kind::Reset => exchange.reset_connection(proxy),
-                Kind::Close => exchange.close_connection(proxy),
+                FaultKind::Reset => exchange.reset_connection(proxy),
+                FaultKind::Close => exchange.close_connection(proxy),
                 _ => exchange.silence_connection(proxy),
             };
         }
@@ -182,7 +184,7 @@
     async fn stop_discovery(&self, fault: &PlannedFault) {
         for discovery in &self.discoveries {
             match fault.kind {
-                Kind::DiscoveryDown => discovery.go_down(),
+                FaultKind::DiscoveryDown => discovery.go_down(),
                 _ => discovery.go_silent(),
             }
         }
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-use mallowring_soak::fault::Kind;
+use mallowring_soak::fault::FaultKind;
 use mallowring_soak::plan::{Options, Plan};
 
 #[test]
@@ -21,7 +21,7 @@
         assert!(plan.calls.iter().all(|call| call.at < plan.seconds && call.deadline_ms > 0));
         assert!(plan.calls.iter().all(|call| call.deadline_ms as f64 <= plan.give_up * 1000.0));
     }
-    for kind in Kind::ALL {
+    for kind in FaultKind::ALL {
         let n = plans.iter().flat_map(|plan| &plan.faults).filter(|fault| fault.kind == kind).count();
         assert!(n > 10, "{}: {n}", kind.name());
     }
@@ -29,7 +29,7 @@
 
 #[test]
 fn only_the_faults_that_are_named_are_drawn() {
-    let options = Options { only: vec![Kind::Hang, Kind::Kill], most_seconds: Some(4.0) };
+    let options = Options { only: vec![FaultKind::Hang, FaultKind::Kill], most_seconds: Some(4.0) };
     let plan = Plan::draw(3, &options);
     assert!(plan.seconds <= 4.0);
     assert!(plan.faults.iter().all(|fault| options.only.contains(&fault.kind)));
