--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -12,10 +12,10 @@
 use smol::stream::StreamExt;
 
 use crate::fault::FaultKind;
-use crate::judge::{judge, Verdict, RULES};
+use crate::judge::{check_rules, Verdict, RULES};
 use crate::plan::{Options, Plan};
-use crate::report::{self, Total};
-use crate::trial::{self, Played};
+use crate::report::{self, Summary};
+use crate::trial::{self, TrialOutcome};
 
 /// A rule was broken.
 const BROKEN: u8 = 1;
@@ -182,18 +182,18 @@
     Ok(trials)
 }
 
-fn play(seed: u64, options: &Options, common: &Common) -> std::io::Result<(Plan, Played, Verdict)> {
+fn play(seed: u64, options: &Options, common: &Common) -> std::io::Result<(Plan, TrialOutcome, Verdict)> {
     let plan = Plan::draw(seed, options);
-    let played = trial::play(&plan, &common.program)?;
-    let verdict = judge(&played.entries, &trial::figures(&plan));
-    Ok((plan, played, verdict))
+    let outcome = trial::play(&plan, &common.program)?;
+    let verdict = check_rules(&outcome.entries, &trial::deployment_parameters(&plan));
+    Ok((plan, outcome, verdict))
 }
 
-fn keep(seed: u64, folder: &Path, played: &Played, text: &str) {
+fn keep(seed: u64, folder: &Path, outcome: &TrialOutcome, text: &str) {
     let folder = folder.join(seed.to_string());
     let written: std::io::Result<()> = std::fs::create_dir_all(&folder).and_then(|()| {
         std::fs::write(folder.join("report"), text)?;
-        let mut logs = played.logs.iter().enumerate();
+        let mut logs = outcome.logs.iter().enumerate();
         logs.try_for_each(|(n, log)| std::fs::write(folder.join(format!("n{n}.log")), log))
     });
     if let Err(error) = written {
@@ -203,21 +203,21 @@
 
 fn run(trials: Vec<Trial>, jobs: usize, json: bool, common: &Common) -> ExitCode {
     let bar = ProgressBar::with_draw_target(Some(trials.len() as u64), ProgressDrawTarget::stderr());
-    let (total, failed) = (Mutex::new(Total::default()), AtomicUsize::new(0));
+    let (total, failed) = (Mutex::new(Summary::default()), AtomicUsize::new(0));
     let next = Mutex::new(trials.into_iter());
     let work = || loop {
         let trial = next.lock().ok().and_then(|mut trials| trials.next());
         let Some(Trial { seed, options }) = trial else { return };
         match play(seed, &options, common) {
-            Ok((plan, played, verdict)) => {
-                let text = report::breaches(&plan, &played, &verdict);
+            Ok((plan, outcome, verdict)) => {
+                let text = report::breaches(&plan, &outcome, &verdict);
                 if !text.is_empty() {
                     let text = format!("{}{text}", report::timeline(&plan));
                     bar.suspend(|| eprint!("{text}"));
-                    keep(seed, &common.logs, &played, &text);
+                    keep(seed, &common.logs, &outcome, &text);
                 }
                 if let Ok(mut total) = total.lock() {
-                    total.add(seed, &verdict, &played.coverage);
+                    total.add(seed, &verdict, &outcome.coverage);
                 }
             }
             Err(error) => {
@@ -245,7 +245,7 @@
 }
 
 fn replay(seed: u64, common: &Common, call: Option<&str>) -> ExitCode {
-    let (plan, played, verdict) = match play(seed, &common.options(), common) {
+    let (plan, outcome, verdict) = match play(seed, &common.options(), common) {
         Ok(done) => done,
         Err(error) => {
             eprintln!("seed {seed}: {error}");
@@ -255,12 +255,12 @@
     print!("{}", report::timeline(&plan));
     if let Some(call) = call {
         for proxy in 0..plan.proxies {
-            print!("{}", report::life(&played, proxy, call));
+            print!("{}", report::life(&outcome, proxy, call));
         }
     }
-    print!("{}", report::breaches(&plan, &played, &verdict));
+    print!("{}", report::breaches(&plan, &outcome, &verdict));
     println!("{} calls judged, {} not judged", verdict.judged, verdict.not_judged);
-    keep(seed, &common.logs, &played, &report::breaches(&plan, &played, &verdict));
+    keep(seed, &common.logs, &outcome, &report::breaches(&plan, &outcome, &verdict));
     if verdict.breaches.is_empty() {
         ExitCode::SUCCESS
     } else {
--- a/crates/soak/src/coverage.rs
+++ b/crates/soak/src/coverage.rs
@@ -9,7 +9,7 @@
 
 /// What calls a fault met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum State {
+pub enum CallState {
     /// None.
     NoCall,
     /// A set-up was out.
@@ -20,15 +20,16 @@
     InRelease,
 }
 
-impl State {
+impl CallState {
     /// All states.
-    pub const ALL: [State; 4] = [State::NoCall, State::SetUpOut, State::Standing, State::InRelease];
+    pub const ALL: [CallState; 4] =
+        [CallState::NoCall, CallState::SetUpOut, CallState::Standing, CallState::InRelease];
 }
 
 /// Counts over one trial or many.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Coverage {
-    met: BTreeMap<FaultKind, BTreeMap<State, u64>>,
+    met: BTreeMap<FaultKind, BTreeMap<CallState, u64>>,
     overlaps: BTreeMap<FaultKind, u64>,
     #[serde(skip)]
     under_way: Vec<(FaultKind, f64)>,
@@ -46,7 +47,7 @@
     }
 
     /// A fault met a state.
-    pub fn met(&mut self, kind: FaultKind, state: State) {
+    pub fn met(&mut self, kind: FaultKind, state: CallState) {
         *self.met.entry(kind).or_default().entry(state).or_insert(0) += 1;
     }
 
@@ -63,7 +64,7 @@
     }
 
     /// How often a fault met a state.
-    pub fn count(&self, kind: FaultKind, state: State) -> u64 {
+    pub fn count(&self, kind: FaultKind, state: CallState) -> u64 {
         self.met.get(&kind).and_then(|states| states.get(&state)).copied().unwrap_or(0)
     }
 
--- a/crates/soak/src/judge/calls.rs
+++ b/crates/soak/src/judge/calls.rs
@@ -2,7 +2,7 @@
 
 use mallowring_standin::record::Observation;
 
-use super::view::{Attempt, CallView, World, CROSSING};
+use super::view::{Attempt, CallHistory, TrialContext, CROSSING};
 use super::*;
 
 /// A final answer that comes so late only earns nothing; later it is lost.
@@ -12,27 +12,27 @@
 /// From the end of a call to the release to its caller.
 const TOLD_WITHIN: f64 = 8.0;
 
-fn breach(rule: Rule, call: &CallView, at: f64, what: String) -> Option<Breach> {
+fn breach(rule: Rule, call: &CallHistory, at: f64, what: String) -> Option<Breach> {
     Some(Breach { rule, at, proxy: call.proxy, call: call.id.to_owned(), what })
 }
 
 /// All breaches of one call.
-pub fn check(call: &CallView, world: &World, figures: &Figures) -> Vec<Breach> {
+pub fn check(call: &CallHistory, context: &TrialContext, parameters: &DeploymentParameters) -> Vec<Breach> {
     let mut breaches: Vec<Breach> = Vec::new();
-    breaches.extend(answer(call, world));
+    breaches.extend(answer(call, context));
     breaches.extend(second_answer(call));
     breaches.extend(description(call));
-    breaches.extend(one_out(call, world));
-    breaches.extend(attempts(call, figures));
-    breaches.extend(pause(call, world, figures));
-    breaches.extend(after_answer(call, world));
-    breaches.extend(call.attempts.iter().filter_map(|attempt| drain(call, attempt, world, figures)));
-    breaches.extend(release(call, world));
-    breaches.extend(told(call, world));
+    breaches.extend(one_out(call, context));
+    breaches.extend(attempts(call, parameters));
+    breaches.extend(pause(call, context, parameters));
+    breaches.extend(after_answer(call, context));
+    breaches.extend(call.attempts.iter().filter_map(|attempt| drain(call, attempt, context, parameters)));
+    breaches.extend(release(call, context));
+    breaches.extend(told(call, context));
     breaches
 }
 
-fn answer(call: &CallView, world: &World) -> Option<Breach> {
+fn answer(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
     let limit = call.requested + call.deadline + ANSWER_LATE + SLACK;
     let answered = call.answer().map(|(at, ..)| at);
     if answered.is_some_and(|at| at <= limit) {
@@ -41,9 +41,9 @@
     if call.first(|observation| *observation == Observation::GaveUp).is_some_and(|at| at <= limit) {
         return None;
     }
-    let end = world.end_of_proxy(call.proxy, call.requested).filter(|end| *end <= limit);
+    let end = context.end_of_proxy(call.proxy, call.requested).filter(|end| *end <= limit);
     if let Some(end) = end {
-        if world.kill_excuses(call.proxy, call.requested, end) {
+        if context.kill_excuses(call.proxy, call.requested, end) {
             return None;
         }
         let what =
@@ -57,14 +57,14 @@
     breach(ANSWER, call, limit, what)
 }
 
-fn second_answer(call: &CallView) -> Option<Breach> {
+fn second_answer(call: &CallHistory) -> Option<Breach> {
     let mut answers =
         call.entries.iter().filter(|entry| matches!(entry.observation, Observation::Answered { .. }));
     let second = answers.nth(1)?;
     breach(SECOND_ANSWER, call, second.at, "a second final answer".to_owned())
 }
 
-fn description(call: &CallView) -> Option<Breach> {
+fn description(call: &CallHistory) -> Option<Breach> {
     let offer = format!("offer-{}", call.id);
     for entry in &call.entries {
         if let Observation::SetUp { description } = &entry.observation {
@@ -89,12 +89,13 @@
     None
 }
 
-fn one_out(call: &CallView, world: &World) -> Option<Breach> {
+fn one_out(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
     for (ix, first) in call.attempts.iter().enumerate() {
         for second in &call.attempts[ix + 1..] {
             // One that a silent exchange reads late was given up before.
-            let late =
-                [first, second].into_iter().any(|a| world.was_silent(&a.exchange, call.requested, second.at));
+            let late = [first, second]
+                .into_iter()
+                .any(|a| context.was_silent(&a.exchange, call.requested, second.at));
             let overlaps = first.end.is_none_or(|end| second.at < end - SLACK);
             if overlaps && !late {
                 let what = format!("out at {} and at {}", first.exchange, second.exchange);
@@ -105,29 +106,29 @@
     None
 }
 
-fn attempts(call: &CallView, figures: &Figures) -> Option<Breach> {
-    let beyond = call.attempts.get(figures.max_attempts)?;
+fn attempts(call: &CallHistory, parameters: &DeploymentParameters) -> Option<Breach> {
+    let beyond = call.attempts.get(parameters.max_attempts)?;
     breach(ATTEMPTS, call, beyond.at, format!("{} attempts", call.attempts.len()))
 }
 
-fn pause(call: &CallView, world: &World, figures: &Figures) -> Option<Breach> {
+fn pause(call: &CallHistory, context: &TrialContext, parameters: &DeploymentParameters) -> Option<Breach> {
     for pair in call.attempts.windows(2) {
         let [first, second] = pair else { continue };
         let Some(end) = first.end.filter(|_| first.pause) else { continue };
         let silent =
-            [first, second].into_iter().any(|a| world.was_silent(&a.exchange, call.requested, second.at));
+            [first, second].into_iter().any(|a| context.was_silent(&a.exchange, call.requested, second.at));
         let waited = second.at - end;
-        if waited < figures.release_pause - SLACK && !silent {
+        if waited < parameters.release_pause - SLACK && !silent {
             return breach(PAUSE, call, second.at, format!("sent again after {waited:.3} s"));
         }
     }
     None
 }
 
-fn after_answer(call: &CallView, world: &World) -> Option<Breach> {
+fn after_answer(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
     let (answered, ..) = call.answer()?;
     let late = |attempt: &&Attempt| {
-        attempt.at > answered + SLACK && !world.was_silent(&attempt.exchange, call.requested, attempt.at)
+        attempt.at > answered + SLACK && !context.was_silent(&attempt.exchange, call.requested, attempt.at)
     };
     let late = call.attempts.iter().find(late)?;
     breach(
@@ -138,10 +139,15 @@
     )
 }
 
-fn drain(call: &CallView, attempt: &Attempt, world: &World, figures: &Figures) -> Option<Breach> {
-    let told = world.counts_as_told(call.proxy, &attempt.exchange)?;
-    let late = attempt.at - told - figures.drain_grace - SLACK;
-    if late <= 0.0 || world.was_silent(&attempt.exchange, told, attempt.at) {
+fn drain(
+    call: &CallHistory,
+    attempt: &Attempt,
+    context: &TrialContext,
+    parameters: &DeploymentParameters,
+) -> Option<Breach> {
+    let told = context.counts_as_told(call.proxy, &attempt.exchange)?;
+    let late = attempt.at - told - parameters.drain_grace - SLACK;
+    if late <= 0.0 || context.was_silent(&attempt.exchange, told, attempt.at) {
         return None;
     }
     let what = format!("sent to {} {:.3} s after it counted as told", attempt.exchange, attempt.at - told);
@@ -150,31 +156,31 @@
 
 /// Whether the caller of a call that stood had to be told by a time: it was there to be told and has not ended the call
 /// itself, and the proxy ran.
-fn is_owed(call: &CallView, world: &World, from: f64, by: f64) -> bool {
+fn is_owed(call: &CallHistory, context: &TrialContext, from: f64, by: f64) -> bool {
     let stood = call.answer().is_some_and(|(at, status, _)| status == 200 && at <= from);
     let hung_up = call.first(|observation| *observation == Observation::HungUp).is_some_and(|at| at <= by);
-    let ended = world.end_of_proxy(call.proxy, call.requested).is_some_and(|end| end <= by);
-    stood && !hung_up && !ended && world.caller_was_connected(call.proxy, from, by)
+    let ended = context.end_of_proxy(call.proxy, call.requested).is_some_and(|end| end <= by);
+    stood && !hung_up && !ended && context.caller_was_connected(call.proxy, from, by)
 }
 
-fn release_heard(call: &CallView) -> f64 {
+fn release_heard(call: &CallHistory) -> f64 {
     call.first(|observation| matches!(observation, Observation::ReleaseHeard(_))).unwrap_or(f64::INFINITY)
 }
 
-fn release(call: &CallView, world: &World) -> Option<Breach> {
+fn release(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
     let sent = call.first(|observation| *observation == Observation::ReleaseSent)?;
     let by = sent + RELEASE_WITHIN + SLACK;
-    if release_heard(call) <= by || !is_owed(call, world, sent - CROSSING, by) {
+    if release_heard(call) <= by || !is_owed(call, context, sent - CROSSING, by) {
         return None;
     }
     let late = release_heard(call) - sent;
     breach(RELEASE, call, by, format!("told {late:.3} s after the exchange's release"))
 }
 
-fn told(call: &CallView, world: &World) -> Option<Breach> {
+fn told(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
     let over = call.first(|observation| *observation == Observation::Over)?;
     let by = over + TOLD_WITHIN + SLACK;
-    if release_heard(call) <= by || !is_owed(call, world, over - CROSSING, by) {
+    if release_heard(call) <= by || !is_owed(call, context, over - CROSSING, by) {
         return None;
     }
     breach(END, call, by, format!("told {:.3} s after its end", release_heard(call) - over))
--- a/crates/soak/src/judge/fleet.rs
+++ b/crates/soak/src/judge/fleet.rs
@@ -2,7 +2,7 @@
 
 use mallowring_standin::record::{Entry, Observation};
 
-use super::view::World;
+use super::view::TrialContext;
 use super::*;
 
 /// A proxy that starts passes a test within so long.
@@ -11,17 +11,17 @@
 const TOLD_SHARE: f64 = 2.0 / 3.0;
 
 /// All breaches that are of no single call.
-pub fn check(entries: &[Entry], world: &World, figures: &Figures) -> Vec<Breach> {
+pub fn check(entries: &[Entry], context: &TrialContext, parameters: &DeploymentParameters) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for (ix, entry) in entries.iter().enumerate() {
         let later = &entries[ix + 1..];
         let found = match &entry.observation {
-            Observation::ProxyEnded { clean } => crash(entry, *clean, world),
+            Observation::ProxyEnded { clean } => crash(entry, *clean, context),
             Observation::ProxyStarted => ready(entry, later),
             Observation::Resources { memory_kb, descriptors } => {
-                resources(entry, *memory_kb, *descriptors, figures)
+                resources(entry, *memory_kb, *descriptors, parameters)
             }
-            Observation::StartedCold => cold(entry, later, figures),
+            Observation::StartedCold => cold(entry, later, parameters),
             _ => None,
         };
         breaches.extend(found);
@@ -33,8 +33,8 @@
     Some(Breach { rule, at, proxy: entry.proxy, call: String::new(), what })
 }
 
-fn crash(entry: &Entry, clean: bool, world: &World) -> Option<Breach> {
-    let asked = world.was_terminated(entry.proxy, entry.at);
+fn crash(entry: &Entry, clean: bool, context: &TrialContext) -> Option<Breach> {
+    let asked = context.was_terminated(entry.proxy, entry.at);
     if clean && asked {
         return None;
     }
@@ -58,22 +58,27 @@
     breach(READY, entry, until, format!("not ready within {READY_WITHIN} s"))
 }
 
-fn resources(entry: &Entry, memory_kb: u64, descriptors: usize, figures: &Figures) -> Option<Breach> {
-    if memory_kb > figures.memory_kb {
-        return breach(MEMORY, entry, entry.at, format!("{memory_kb} kB of {}", figures.memory_kb));
+fn resources(
+    entry: &Entry,
+    memory_kb: u64,
+    descriptors: usize,
+    parameters: &DeploymentParameters,
+) -> Option<Breach> {
+    if memory_kb > parameters.memory_kb {
+        return breach(MEMORY, entry, entry.at, format!("{memory_kb} kB of {}", parameters.memory_kb));
     }
-    if descriptors > figures.descriptors {
-        return breach(DESCRIPTORS, entry, entry.at, format!("{descriptors} of {}", figures.descriptors));
+    if descriptors > parameters.descriptors {
+        return breach(DESCRIPTORS, entry, entry.at, format!("{descriptors} of {}", parameters.descriptors));
     }
     None
 }
 
 /// How many set-ups a cold exchange bears within the span that the settings name, which ends so many seconds after its
 /// start (STANDING, 'The whole fleet').
-fn bears(age: f64, figures: &Figures) -> f64 {
-    let warm = (age / figures.warm_within).clamp(0.0, 1.0);
-    let share = figures.cold_from + (1.0 - figures.cold_from) * warm;
-    let n = figures.fall_multiple * figures.exchange_rate * share * figures.fall;
+fn bears(age: f64, parameters: &DeploymentParameters) -> f64 {
+    let warm = (age / parameters.warm_within).clamp(0.0, 1.0);
+    let share = parameters.cold_from + (1.0 - parameters.cold_from) * warm;
+    let n = parameters.fall_multiple * parameters.exchange_rate * share * parameters.fall;
     if n < 30.0 {
         n + 3.0 * n.sqrt() + 3.0
     } else {
@@ -81,11 +86,11 @@
     }
 }
 
-fn cold(entry: &Entry, later: &[Entry], figures: &Figures) -> Option<Breach> {
+fn cold(entry: &Entry, later: &[Entry], parameters: &DeploymentParameters) -> Option<Breach> {
     let sent = later
         .iter()
         .filter(|e| e.observer == entry.observer && matches!(e.observation, Observation::SetUp { .. }));
-    let sent: Vec<&Entry> = sent.take_while(|e| e.at - entry.at <= figures.warm_within).collect();
+    let sent: Vec<&Entry> = sent.take_while(|e| e.at - entry.at <= parameters.warm_within).collect();
     let told_at = |proxy: usize| {
         let told = later.iter().filter(|e| e.proxy == proxy);
         let told = told.filter(
@@ -94,11 +99,11 @@
         told.map(|e| e.at).reduce(f64::min)
     };
     for (ix, last) in sent.iter().enumerate() {
-        let window = sent[..=ix].iter().rev().take_while(|e| last.at - e.at <= figures.fall);
+        let window = sent[..=ix].iter().rev().take_while(|e| last.at - e.at <= parameters.fall);
         let window: Vec<_> = window.collect();
         let by_told = window.iter().filter(|e| told_at(e.proxy).is_some_and(|at| at <= e.at)).count() as f64;
         let n = window.len() as f64;
-        if n > bears(last.at - entry.at, figures) && by_told > TOLD_SHARE * n {
+        if n > bears(last.at - entry.at, parameters) && by_told > TOLD_SHARE * n {
             let what = format!("{} was pushed over by {n} set-ups", entry.observer);
             return breach(COLD, entry, last.at, what);
         }
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -10,14 +10,14 @@
 
 use mallowring_standin::record::Entry;
 use serde::Serialize;
-use view::{CallView, World};
+use view::{CallHistory, TrialContext};
 
 /// Every time limit of the rules is so much longer (PROTOCOL, 'The rules on sockets').
 pub const SLACK: f64 = 0.05;
 
 /// The figures of the deployment under trial.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct DeploymentParameters {
     /// Grace for set-ups to an exchange that drains or is gone, in seconds.
     pub drain_grace: f64,
     /// The pause before a call is sent again after a time-out, reset or cancel, in seconds.
@@ -135,23 +135,23 @@
 }
 
 /// Judges the record of a trial.
-pub fn judge(entries: &[Entry], figures: &Figures) -> Verdict {
-    let world = World::of(entries);
+pub fn check_rules(entries: &[Entry], parameters: &DeploymentParameters) -> Verdict {
+    let context = TrialContext::of(entries);
     let mut calls: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for entry in entries.iter().filter(|entry| !entry.call_id.is_empty()) {
         calls.entry(&entry.call_id).or_default().push(entry);
     }
     let mut verdict = Verdict::default();
     for (id, entries) in calls {
-        let Some(call) = CallView::of(id, entries) else { continue };
-        if world.was_held_up(&call) {
+        let Some(call) = CallHistory::of(id, entries) else { continue };
+        if context.was_held_up(&call) {
             verdict.not_judged += 1;
             continue;
         }
         verdict.judged += 1;
-        verdict.breaches.extend(calls::check(&call, &world, figures));
+        verdict.breaches.extend(calls::check(&call, &context, parameters));
     }
-    verdict.breaches.extend(fleet::check(entries, &world, figures));
+    verdict.breaches.extend(fleet::check(entries, &context, parameters));
     verdict.breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
     verdict
 }
--- a/crates/soak/src/judge/view.rs
+++ b/crates/soak/src/judge/view.rs
@@ -46,7 +46,7 @@
 
 /// One call.
 #[derive(Debug)]
-pub struct CallView<'a> {
+pub struct CallHistory<'a> {
     /// Its id.
     pub id: &'a str,
     /// Its proxy.
@@ -61,15 +61,15 @@
     pub attempts: Vec<Attempt>,
 }
 
-impl<'a> CallView<'a> {
+impl<'a> CallHistory<'a> {
     /// The view of one call; `None` where no caller asked for it.
-    pub fn of(id: &'a str, entries: Vec<&'a Entry>) -> Option<CallView<'a>> {
+    pub fn of(id: &'a str, entries: Vec<&'a Entry>) -> Option<CallHistory<'a>> {
         let request = |entry: &&&'a Entry| matches!(entry.observation, Observation::Requested { .. });
         let last = entries.iter().rfind(request)?;
         let Observation::Requested { deadline } = last.observation else { return None };
         let (proxy, requested) = (last.proxy, last.at);
         let attempts = attempts(&entries);
-        Some(CallView { id, proxy, entries, requested, deadline, attempts })
+        Some(CallHistory { id, proxy, entries, requested, deadline, attempts })
     }
 
     /// When something was first seen.
@@ -109,7 +109,7 @@
 
 /// What happened around the calls.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct TrialContext {
     silent: BTreeMap<String, Vec<Span>>,
     callers: BTreeMap<usize, Vec<Span>>,
     held_up: Vec<Span>,
@@ -123,10 +123,10 @@
     reachable: BTreeMap<usize, Vec<(f64, bool)>>,
 }
 
-impl World {
+impl TrialContext {
     /// Reads the record.
-    pub fn of(entries: &[Entry]) -> World {
-        let mut world = World::default();
+    pub fn of(entries: &[Entry]) -> TrialContext {
+        let mut context = TrialContext::default();
         let mut connected: BTreeMap<(usize, &str), f64> = BTreeMap::new();
         let mut silent: BTreeMap<&str, f64> = BTreeMap::new();
         let end = entries.last().map_or(0.0, |entry| entry.at);
@@ -136,43 +136,43 @@
                 Observation::CallerConnected => drop(connected.insert((*proxy, observer), *at)),
                 Observation::CallerDisconnected => {
                     if let Some(from) = connected.remove(&(*proxy, observer.as_str())) {
-                        world.callers.entry(*proxy).or_default().push(Span { from, to: *at });
+                        context.callers.entry(*proxy).or_default().push(Span { from, to: *at });
                     }
                 }
                 Observation::Silent => drop(silent.entry(observer).or_insert(*at)),
                 Observation::Working => {
                     if let Some(from) = silent.remove(observer.as_str()) {
-                        world.silent.entry(observer.clone()).or_default().push(Span { from, to: *at });
+                        context.silent.entry(observer.clone()).or_default().push(Span { from, to: *at });
                     }
                 }
-                Observation::HeldUp(seconds) => world.held_up.push(Span { from: at - seconds, to: *at }),
-                Observation::Terminated => world.terminated.entry(*proxy).or_default().push(*at),
-                Observation::Killed => world.killed.entry(*proxy).or_default().push(*at),
-                Observation::ProxyEnded { .. } => world.ended.entry(*proxy).or_default().push(*at),
-                Observation::ProxyStarted => world.started.entry(*proxy).or_default().push(*at),
+                Observation::HeldUp(seconds) => context.held_up.push(Span { from: at - seconds, to: *at }),
+                Observation::Terminated => context.terminated.entry(*proxy).or_default().push(*at),
+                Observation::Killed => context.killed.entry(*proxy).or_default().push(*at),
+                Observation::ProxyEnded { .. } => context.ended.entry(*proxy).or_default().push(*at),
+                Observation::ProxyStarted => context.started.entry(*proxy).or_default().push(*at),
                 Observation::Published { exchange, ready: false } => {
-                    world.published.entry(exchange.clone()).or_insert(*at);
+                    context.published.entry(exchange.clone()).or_insert(*at);
                 }
                 Observation::Told { exchange, ready: false } => {
-                    world.told.entry((*proxy, exchange.clone())).or_insert(*at);
+                    context.told.entry((*proxy, exchange.clone())).or_insert(*at);
                 }
                 Observation::Reachable(reachable) => {
-                    world.reachable.entry(*proxy).or_default().push((*at, *reachable));
+                    context.reachable.entry(*proxy).or_default().push((*at, *reachable));
                 }
                 _ => {}
             }
         }
         for ((proxy, _), from) in connected {
-            world.callers.entry(proxy).or_default().push(Span { from, to: end });
+            context.callers.entry(proxy).or_default().push(Span { from, to: end });
         }
         for (observer, from) in silent {
-            world.silent.entry(observer.to_owned()).or_default().push(Span { from, to: end });
+            context.silent.entry(observer.to_owned()).or_default().push(Span { from, to: end });
         }
-        world
+        context
     }
 
     /// Whether the trial itself was held up while something of the call could have been seen late.
-    pub fn was_held_up(&self, call: &CallView) -> bool {
+    pub fn was_held_up(&self, call: &CallHistory) -> bool {
         let times = call.entries.iter().map(|entry| entry.at);
         let last = times.fold(call.requested + call.deadline, f64::max);
         self.held_up.iter().any(|span| span.meets(call.requested, last + 1.0))
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -7,11 +7,11 @@
 use comfy_table::Table;
 use serde::Serialize;
 
-use crate::coverage::{Coverage, State};
+use crate::coverage::{CallState, Coverage};
 use crate::fault::FaultKind;
 use crate::judge::{Breach, Verdict, RULES};
 use crate::plan::Plan;
-use crate::trial::Played;
+use crate::trial::TrialOutcome;
 
 /// Breaches of one rule that are printed whole.
 const SHOWN: usize = 3;
@@ -20,7 +20,7 @@
 
 /// The sum over many trials.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Total {
+pub struct Summary {
     /// Trials.
     pub trials: usize,
     /// Seeds with a broken rule, with the rules.
@@ -35,7 +35,7 @@
     pub coverage: Coverage,
 }
 
-impl Total {
+impl Summary {
     /// Adds one trial.
     pub fn add(&mut self, seed: u64, verdict: &Verdict, coverage: &Coverage) {
         self.trials += 1;
@@ -72,7 +72,7 @@
         met.set_header(["fault", "no call", "set-up out", "standing", "in release", "overlaps"]);
         for kind in FaultKind::ALL {
             let mut row = vec![kind.name().to_owned()];
-            row.extend(State::ALL.iter().map(|state| self.coverage.count(kind, *state).to_string()));
+            row.extend(CallState::ALL.iter().map(|state| self.coverage.count(kind, *state).to_string()));
             row.push(self.coverage.overlaps(kind).to_string());
             met.add_row(row);
         }
@@ -107,18 +107,18 @@
 }
 
 /// One call's life over all processes, with the proxy's log lines of its id.
-pub fn life(played: &Played, proxy: usize, call: &str) -> String {
+pub fn life(outcome: &TrialOutcome, proxy: usize, call: &str) -> String {
     let mut text = String::new();
-    for entry in played.entries.iter().filter(|entry| entry.call_id == call) {
+    for entry in outcome.entries.iter().filter(|entry| entry.call_id == call) {
         let _ = writeln!(
             text,
             "    {:9.3} {:<12} {:?}",
-            entry.at - played.began,
+            entry.at - outcome.began,
             entry.observer,
             entry.observation
         );
     }
-    let log = played.logs.get(proxy).map_or("", String::as_str);
+    let log = outcome.logs.get(proxy).map_or("", String::as_str);
     for line in log.lines().filter(|line| line.contains(call)) {
         let _ = writeln!(text, "    n{proxy} {line}");
     }
@@ -126,7 +126,7 @@
 }
 
 /// The breaches of a trial, with what is needed to look into them.
-pub fn breaches(plan: &Plan, played: &Played, verdict: &Verdict) -> String {
+pub fn breaches(plan: &Plan, outcome: &TrialOutcome, verdict: &Verdict) -> String {
     let mut text = String::new();
     let mut shown: BTreeMap<&str, usize> = BTreeMap::new();
     for Breach { rule, at, proxy, call, what } in &verdict.breaches {
@@ -135,10 +135,10 @@
         if *n > SHOWN {
             continue;
         }
-        let at = at - played.began;
+        let at = at - outcome.began;
         let _ = writeln!(text, "  {at:9.3} rule '{}': n{proxy} {call} {what} ({})", rule.name, rule.source);
         if !call.is_empty() {
-            text.push_str(&life(played, *proxy, call));
+            text.push_str(&life(outcome, *proxy, call));
         }
     }
     for (rule, n) in shown.into_iter().filter(|(_, n)| *n > SHOWN) {
--- a/crates/soak/src/trial/faults.rs
+++ b/crates/soak/src/trial/faults.rs
@@ -9,7 +9,7 @@
 use smol::net::TcpStream;
 
 use super::{unix_ms, Stage};
-use crate::coverage::State;
+use crate::coverage::CallState;
 use crate::fault::FaultKind;
 use crate::plan::PlannedFault;
 
@@ -76,10 +76,11 @@
         let standing = hit.iter().any(|e| e.established_calls() > 0);
         let releasing = hit.iter().any(|e| e.released_within(0.2));
         let mut coverage = self.coverage.borrow_mut();
-        let met = [(open, State::SetUpOut), (standing, State::Standing), (releasing, State::InRelease)];
+        let met =
+            [(open, CallState::SetUpOut), (standing, CallState::Standing), (releasing, CallState::InRelease)];
         met.into_iter().filter(|(is, _)| *is).for_each(|(_, state)| coverage.met(fault.kind, state));
         if !open && !standing {
-            coverage.met(fault.kind, State::NoCall);
+            coverage.met(fault.kind, CallState::NoCall);
         }
     }
 
--- a/crates/soak/src/trial/mod.rs
+++ b/crates/soak/src/trial/mod.rs
@@ -20,7 +20,7 @@
 use proxies::ProxySlot;
 
 use crate::coverage::Coverage;
-use crate::judge::Figures;
+use crate::judge::DeploymentParameters;
 use crate::plan::Plan;
 
 /// The first number of an exchange; the proxies' own exchanges have smaller ones.
@@ -32,7 +32,7 @@
 
 /// What a trial left behind.
 #[derive(Debug)]
-pub struct Played {
+pub struct TrialOutcome {
     /// The record.
     pub entries: Vec<Entry>,
     /// When the load began, in seconds of Unix time.
@@ -62,8 +62,8 @@
 }
 
 /// The figures that a plan's proxies are told, for the judge.
-pub fn figures(plan: &Plan) -> Figures {
-    Figures {
+pub fn deployment_parameters(plan: &Plan) -> DeploymentParameters {
+    DeploymentParameters {
         drain_grace: 0.5,
         release_pause: 0.3,
         max_attempts: 4,
@@ -78,14 +78,14 @@
 }
 
 /// Plays a plan with a program.
-pub fn play(plan: &Plan, program: &Path) -> io::Result<Played> {
+pub fn play(plan: &Plan, program: &Path) -> io::Result<TrialOutcome> {
     let (plan, program) = (plan.clone(), program.to_owned());
     run(async |tasks| {
         let stage = Rc::new(Stage::set_up(tasks, plan, program).await?);
         stage.clone().play().await;
         let logs = stage.proxies.iter().map(ProxySlot::log).collect();
         let coverage = stage.coverage.borrow().clone();
-        Ok(Played { entries: stage.record.entries(), began: stage.began.get(), coverage, logs })
+        Ok(TrialOutcome { entries: stage.record.entries(), began: stage.began.get(), coverage, logs })
     })
 }
 
@@ -133,19 +133,19 @@
         self.clone().watch();
         for call in self.plan.calls.clone() {
             let stage = self.clone();
-            let played = async move {
+            let call_task = async move {
                 stage.sleep_until(call.at).await;
                 stage.play_call(call).await;
             };
-            self.tasks.spawn(played).detach();
+            self.tasks.spawn(call_task).detach();
         }
         for fault in self.plan.faults.clone() {
             let stage = self.clone();
-            let played = async move {
+            let fault_task = async move {
                 stage.sleep_until(fault.at).await;
                 stage.play_fault(fault).await;
             };
-            self.tasks.spawn(played).detach();
+            self.tasks.spawn(fault_task).detach();
         }
         self.sleep_until(self.plan.seconds + AFTER_LOAD).await;
         self.over.set(true);
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,13 +1,13 @@
 //! The judge on scripted records: for each rule one that breaks it alone, and one that keeps it by a millisecond.
 
-use mallowring_soak::judge::{judge, Figures};
+use mallowring_soak::judge::{check_rules, DeploymentParameters};
 use mallowring_standin::record::{Entry, Observation};
 
 const CALL: &str = "00000000000000aa";
 const MS: f64 = 0.001;
 
-fn figures() -> Figures {
-    Figures {
+fn deployment_parameters() -> DeploymentParameters {
+    DeploymentParameters {
         drain_grace: 0.5,
         release_pause: 0.3,
         max_attempts: 4,
@@ -73,8 +73,11 @@
     // So long that whatever is owed is due.
     entries.push(entry(60.0, "end", "", Observation::Reachable(true)));
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let mut rules: Vec<_> =
-        judge(&entries, &figures()).breaches.iter().map(|breach| breach.rule.name).collect();
+    let mut rules: Vec<_> = check_rules(&entries, &deployment_parameters())
+        .breaches
+        .iter()
+        .map(|breach| breach.rule.name)
+        .collect();
     rules.dedup();
     rules
 }
@@ -311,6 +314,6 @@
     let held = |at| vec![requested(), entry(at, "trial", "", Observation::HeldUp(0.2))];
     assert_eq!(broken(held(1.0)), [""; 0]);
     assert_eq!(broken(held(30.0)), ["answer"]);
-    let verdict = judge(&held(1.0), &figures());
+    let verdict = check_rules(&held(1.0), &deployment_parameters());
     assert_eq!((verdict.judged, verdict.not_judged), (0, 1));
 }
