--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -91,7 +91,7 @@
 
 impl Common {
     fn options(&self) -> Options {
-        Options { only: self.only.clone(), most_seconds: self.seconds }
+        Options { only: self.only.clone(), max_seconds: self.seconds }
     }
 }
 
@@ -176,7 +176,7 @@
             words.next().and_then(|seed| seed.parse().ok()).ok_or_else(|| bad("it begins with no seed"))?;
         let faults = words.next().ok_or_else(|| bad("it names no faults"))?;
         let only: Result<Vec<FaultKind>, String> = faults.split(',').map(str::parse).collect();
-        let options = Options { only: only.map_err(|what| bad(&what))?, most_seconds: None };
+        let options = Options { only: only.map_err(|what| bad(&what))?, max_seconds: None };
         trials.push(Trial { seed, options });
     }
     Ok(trials)
@@ -255,7 +255,7 @@
     print!("{}", report::timeline(&plan));
     if let Some(call) = call {
         for proxy in 0..plan.proxies {
-            print!("{}", report::life(&outcome, proxy, call));
+            print!("{}", report::call_timeline(&outcome, proxy, call));
         }
     }
     print!("{}", report::breaches(&plan, &outcome, &verdict));
--- a/crates/soak/src/coverage.rs
+++ b/crates/soak/src/coverage.rs
@@ -13,9 +13,11 @@
     /// None.
     NoCall,
     /// A set-up was out.
-    SetUpOut,
+    #[serde(rename = "SetUpOut")]
+    SetUpPending,
     /// A call stood.
-    Standing,
+    #[serde(rename = "Standing")]
+    Established,
     /// A call was just released.
     InRelease,
 }
@@ -23,39 +25,40 @@
 impl CallState {
     /// All states.
     pub const ALL: [CallState; 4] =
-        [CallState::NoCall, CallState::SetUpOut, CallState::Standing, CallState::InRelease];
+        [CallState::NoCall, CallState::SetUpPending, CallState::Established, CallState::InRelease];
 }
 
 /// Counts over one trial or many.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Coverage {
-    met: BTreeMap<FaultKind, BTreeMap<CallState, u64>>,
+    #[serde(rename = "met")]
+    states_by_fault: BTreeMap<FaultKind, BTreeMap<CallState, u64>>,
     overlaps: BTreeMap<FaultKind, u64>,
     #[serde(skip)]
-    under_way: Vec<(FaultKind, f64)>,
+    active: Vec<(FaultKind, f64)>,
 }
 
 impl Coverage {
     /// A fault begins and lasts until a time.
-    pub fn begins(&mut self, kind: FaultKind, until: f64) {
+    pub fn record_start(&mut self, kind: FaultKind, until: f64) {
         let at = now();
-        self.under_way.retain(|(_, until)| *until > at);
-        if !self.under_way.is_empty() {
+        self.active.retain(|(_, until)| *until > at);
+        if !self.active.is_empty() {
             *self.overlaps.entry(kind).or_insert(0) += 1;
         }
-        self.under_way.push((kind, until));
+        self.active.push((kind, until));
     }
 
     /// A fault met a state.
-    pub fn met(&mut self, kind: FaultKind, state: CallState) {
-        *self.met.entry(kind).or_default().entry(state).or_insert(0) += 1;
+    pub fn record_state(&mut self, kind: FaultKind, state: CallState) {
+        *self.states_by_fault.entry(kind).or_default().entry(state).or_insert(0) += 1;
     }
 
     /// Adds another trial's counts.
     pub fn add(&mut self, other: &Coverage) {
-        for (kind, states) in &other.met {
+        for (kind, states) in &other.states_by_fault {
             for (state, n) in states {
-                *self.met.entry(*kind).or_default().entry(*state).or_insert(0) += n;
+                *self.states_by_fault.entry(*kind).or_default().entry(*state).or_insert(0) += n;
             }
         }
         for (kind, n) in &other.overlaps {
@@ -65,7 +68,7 @@
 
     /// How often a fault met a state.
     pub fn count(&self, kind: FaultKind, state: CallState) -> u64 {
-        self.met.get(&kind).and_then(|states| states.get(&state)).copied().unwrap_or(0)
+        self.states_by_fault.get(&kind).and_then(|states| states.get(&state)).copied().unwrap_or(0)
     }
 
     /// How often a fault began while another one was under way.
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -143,7 +143,7 @@
     }
 
     /// How long it may last, in seconds, from the shortest to the longest.
-    pub fn lasts(self) -> (f64, f64) {
+    pub fn duration_range_s(self) -> (f64, f64) {
         match self {
             FaultKind::Vanish => (4.0, 14.0),
             FaultKind::CutOff => (0.3, 6.0),
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -13,15 +13,15 @@
 use view::{CallHistory, TrialContext};
 
 /// Every time limit of the rules is so much longer (PROTOCOL, 'The rules on sockets').
-pub const SLACK: f64 = 0.05;
+pub const TOLERANCE_S: f64 = 0.05;
 
 /// The figures of the deployment under trial.
 #[derive(Clone, Debug)]
 pub struct DeploymentParameters {
     /// Grace for set-ups to an exchange that drains or is gone, in seconds.
-    pub drain_grace: f64,
+    pub drain_grace_s: f64,
     /// The pause before a call is sent again after a time-out, reset or cancel, in seconds.
-    pub release_pause: f64,
+    pub release_pause_s: f64,
     /// The most attempts of one call.
     pub max_attempts: usize,
     /// Limits of each proxy: memory in kB, and descriptors.
@@ -31,13 +31,13 @@
     /// Set-ups a second that a warm exchange can do.
     pub exchange_rate: f64,
     /// A cold exchange begins at this share of it ...
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// ... and is warm after so many seconds.
-    pub warm_within: f64,
+    pub warm_up_s: f64,
     /// Sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for so many seconds, it falls over.
-    pub fall: f64,
+    pub overload_window_s: f64,
 }
 
 /// A rule and where it is written.
@@ -58,14 +58,14 @@
 pub const DESCRIPTION: Rule =
     Rule { name: "description", source: "PROTOCOL, 'Callers to signalling proxies'" };
 /// One attempt is out at a time.
-pub const ONE_OUT: Rule =
+pub const ONE_ATTEMPT: Rule =
     Rule { name: "one attempt out", source: "WIRE, 'Rules', 2; PROTOCOL, 'The rules on sockets'" };
 /// So many attempts at the most.
 pub const ATTEMPTS: Rule = Rule { name: "attempts", source: "WIRE, limits.max_attempts" };
 /// No send within the pause after a time-out, reset or cancel.
 pub const PAUSE: Rule = Rule { name: "pause", source: "WIRE, 'Rules', 5" };
 /// No send for a call that has its final answer.
-pub const AFTER_ANSWER: Rule = Rule { name: "sent after the answer", source: "WIRE, 'Rules', 1" };
+pub const SENT_AFTER_ANSWER: Rule = Rule { name: "sent after the answer", source: "WIRE, 'Rules', 1" };
 /// Nothing new to an exchange that drains or is gone.
 pub const DRAIN: Rule = Rule {
     name: "drain",
@@ -74,12 +74,13 @@
 /// A release is passed on within 1 s.
 pub const RELEASE: Rule = Rule { name: "release within 1 s", source: "PROTOCOL, 'The rules on sockets'" };
 /// Where no release could be sent the caller is told within 8 s of the end.
-pub const END: Rule = Rule {
+pub const RELEASE_WITHOUT_SIGNAL: Rule = Rule {
     name: "told within 8 s",
     source: "PROTOCOL, 'The rules on sockets'; issue 16: a silent server excuses nothing",
 };
 /// No cold exchange is pushed over.
-pub const COLD: Rule = Rule { name: "cold start", source: "WIRE, 'Rules', 4; STANDING, 'The whole fleet'" };
+pub const COLD_START: Rule =
+    Rule { name: "cold start", source: "WIRE, 'Rules', 4; STANDING, 'The whole fleet'" };
 /// A proxy does not end by itself, but for a SIGTERM, and then with success.
 pub const CRASH: Rule = Rule { name: "crash", source: "DEPLOY, 'deploy/balancer.toml'; PROTOCOL, 'Figures'" };
 /// A proxy that starts is ready in time.
@@ -94,14 +95,14 @@
     ANSWER,
     SECOND_ANSWER,
     DESCRIPTION,
-    ONE_OUT,
+    ONE_ATTEMPT,
     ATTEMPTS,
     PAUSE,
-    AFTER_ANSWER,
+    SENT_AFTER_ANSWER,
     DRAIN,
     RELEASE,
-    END,
-    COLD,
+    RELEASE_WITHOUT_SIGNAL,
+    COLD_START,
     CRASH,
     READY,
     MEMORY,
@@ -120,7 +121,8 @@
     /// The call; empty where it is of none.
     pub call: String,
     /// What was seen.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub details: String,
 }
 
 /// What a trial came to.
@@ -136,15 +138,15 @@
 
 /// Judges the record of a trial.
 pub fn check_rules(entries: &[Entry], parameters: &DeploymentParameters) -> Verdict {
-    let context = TrialContext::of(entries);
+    let context = TrialContext::from_entries(entries);
     let mut calls: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for entry in entries.iter().filter(|entry| !entry.call_id.is_empty()) {
         calls.entry(&entry.call_id).or_default().push(entry);
     }
     let mut verdict = Verdict::default();
     for (id, entries) in calls {
-        let Some(call) = CallHistory::of(id, entries) else { continue };
-        if context.was_held_up(&call) {
+        let Some(call) = CallHistory::from_entries(id, entries) else { continue };
+        if context.overlaps_stall(&call) {
             verdict.not_judged += 1;
             continue;
         }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -33,7 +33,8 @@
     /// Seconds from the start of the load.
     pub at: f64,
     /// For so many seconds.
-    pub lasts: f64,
+    #[serde(rename = "lasts")]
+    pub duration_s: f64,
     /// Its kind.
     pub kind: FaultKind,
     /// Which exchange or proxy, from 0; nothing where it hits discovery.
@@ -73,7 +74,7 @@
     /// Only faults of these kinds; of all where there is none.
     pub only: Vec<FaultKind>,
     /// Seconds of load at the most.
-    pub most_seconds: Option<f64>,
+    pub max_seconds: Option<f64>,
 }
 
 impl Plan {
@@ -82,7 +83,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (proxies, exchanges) = (rng.random_range(2..=6), rng.random_range(3..=12));
         let seconds: f64 = rng.random_range(10.0..=25.0);
-        let seconds = options.most_seconds.map_or(seconds, |most| seconds.min(most));
+        let seconds = options.max_seconds.map_or(seconds, |most| seconds.min(most));
         let give_up = [0.3, 0.6, 1.0, 2.0, 3.0, 6.0, 9.0][rng.random_range(0..7)];
         let mut plan = Plan {
             seed,
@@ -155,10 +156,10 @@
                     Target::Proxy => rng.random_range(0..self.proxies),
                     Target::Discovery => 0,
                 };
-                let (shortest, longest) = kind.lasts();
+                let (shortest, longest) = kind.duration_range_s();
                 let at = start + rng.random_range(0.0..1.2);
-                let lasts = rng.random_range(shortest..=longest);
-                faults.push(PlannedFault { at, lasts, kind, target });
+                let duration_s = rng.random_range(shortest..=longest);
+                faults.push(PlannedFault { at, duration_s, kind, target });
             }
             start += rng.random_range(2.0..6.0);
         }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -14,9 +14,9 @@
 use crate::trial::TrialOutcome;
 
 /// Breaches of one rule that are printed whole.
-const SHOWN: usize = 3;
+const MAX_PRINTED_BREACHES: usize = 3;
 /// Over this share of calls not judged a run has failed.
-pub const MOST_NOT_JUDGED: f64 = 0.1;
+pub const MAX_NOT_JUDGED_SHARE: f64 = 0.1;
 
 /// The sum over many trials.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -54,29 +54,29 @@
     /// Whether no rule was broken and enough was judged.
     pub fn passed(&self) -> bool {
         let all = (self.judged + self.not_judged).max(1) as f64;
-        self.broken.is_empty() && self.not_judged as f64 / all <= MOST_NOT_JUDGED
+        self.broken.is_empty() && self.not_judged as f64 / all <= MAX_NOT_JUDGED_SHARE
     }
 
     /// The tables.
     pub fn text(&self) -> String {
-        let mut rules = Table::new();
-        rules.load_preset(ASCII_MARKDOWN).set_header(["rule", "breaches", "seeds"]);
+        let mut rule_table = Table::new();
+        rule_table.load_preset(ASCII_MARKDOWN).set_header(["rule", "breaches", "seeds"]);
         for rule in RULES {
             let seeds =
                 self.broken.values().filter(|rules| rules.iter().any(|name| name == rule.name)).count();
             let breaches = self.breaches.get(rule.name).copied().unwrap_or(0);
-            rules.add_row([rule.name.to_owned(), breaches.to_string(), seeds.to_string()]);
+            rule_table.add_row([rule.name.to_owned(), breaches.to_string(), seeds.to_string()]);
         }
-        let mut met = Table::new();
-        met.load_preset(ASCII_MARKDOWN);
-        met.set_header(["fault", "no call", "set-up out", "standing", "in release", "overlaps"]);
+        let mut fault_table = Table::new();
+        fault_table.load_preset(ASCII_MARKDOWN);
+        fault_table.set_header(["fault", "no call", "set-up out", "standing", "in release", "overlaps"]);
         for kind in FaultKind::ALL {
             let mut row = vec![kind.name().to_owned()];
             row.extend(CallState::ALL.iter().map(|state| self.coverage.count(kind, *state).to_string()));
             row.push(self.coverage.overlaps(kind).to_string());
-            met.add_row(row);
+            fault_table.add_row(row);
         }
-        let mut text = format!("{rules}\n\n{met}\n\n");
+        let mut text = format!("{rule_table}\n\n{fault_table}\n\n");
         let not_judged = self.not_judged;
         let _ =
             writeln!(text, "{} trials, {} calls judged, {not_judged} not judged", self.trials, self.judged);
@@ -95,10 +95,10 @@
         plan.memory_mb
     );
     for fault in &plan.faults {
-        let (at, lasts, target) = (fault.at, fault.lasts, fault.target);
+        let (at, duration_s, target) = (fault.at, fault.duration_s, fault.target);
         let _ = writeln!(
             text,
-            "  {at:7.3} {:<20} {:?} {target} for {lasts:.3} s",
+            "  {at:7.3} {:<20} {:?} {target} for {duration_s:.3} s",
             fault.kind.name(),
             fault.kind.target()
         );
@@ -107,7 +107,7 @@
 }
 
 /// One call's life over all processes, with the proxy's log lines of its id.
-pub fn life(outcome: &TrialOutcome, proxy: usize, call: &str) -> String {
+pub fn call_timeline(outcome: &TrialOutcome, proxy: usize, call: &str) -> String {
     let mut text = String::new();
     for entry in outcome.entries.iter().filter(|entry| entry.call_id == call) {
         let _ = writeln!(
@@ -128,20 +128,21 @@
 /// The breaches of a trial, with what is needed to look into them.
 pub fn breaches(plan: &Plan, outcome: &TrialOutcome, verdict: &Verdict) -> String {
     let mut text = String::new();
-    let mut shown: BTreeMap<&str, usize> = BTreeMap::new();
-    for Breach { rule, at, proxy, call, what } in &verdict.breaches {
-        let n = shown.entry(rule.name).or_insert(0);
+    let mut printed: BTreeMap<&str, usize> = BTreeMap::new();
+    for Breach { rule, at, proxy, call, details } in &verdict.breaches {
+        let n = printed.entry(rule.name).or_insert(0);
         *n += 1;
-        if *n > SHOWN {
+        if *n > MAX_PRINTED_BREACHES {
             continue;
         }
         let at = at - outcome.began;
-        let _ = writeln!(text, "  {at:9.3} rule '{}': n{proxy} {call} {what} ({})", rule.name, rule.source);
+        let _ =
+            writeln!(text, "  {at:9.3} rule '{}': n{proxy} {call} {details} ({})", rule.name, rule.source);
         if !call.is_empty() {
-            text.push_str(&life(outcome, *proxy, call));
+            text.push_str(&call_timeline(outcome, *proxy, call));
         }
     }
-    for (rule, n) in shown.into_iter().filter(|(_, n)| *n > SHOWN) {
+    for (rule, n) in printed.into_iter().filter(|(_, n)| *n > MAX_PRINTED_BREACHES) {
         let _ = writeln!(text, "  rule '{rule}': {n} breaches in all");
     }
     if !verdict.breaches.is_empty() {
--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -10,7 +10,7 @@
 
 use super::proxies::Life;
 use super::{Stage, FIRST_NUMBER};
-use crate::judge::view::CROSSING;
+use crate::judge::view::CLOSE_CROSSING_S;
 use crate::plan::PlannedCall;
 
 /// A connection that has had no call on it for so long is closed (PROTOCOL, 'Callers to signalling proxies').
@@ -135,7 +135,7 @@
             sleep(LOOK).await;
             let Some(since) = line.pending_since(call) else { return End::Answered };
             if let Some(over) = line.closed_at() {
-                return if over - since <= CROSSING { End::Crossed } else { End::Over };
+                return if over - since <= CLOSE_CROSSING_S { End::Crossed } else { End::Over };
             }
             // The half second for which an answer still counts is waited for.
             let waits = if early { patience * EARLY } else { patience + 0.6 };
--- a/crates/soak/src/trial/faults.rs
+++ b/crates/soak/src/trial/faults.rs
@@ -23,8 +23,8 @@
 impl Stage {
     pub(super) async fn play_fault(self: Rc<Self>, fault: PlannedFault) {
         self.count(&fault);
-        let until = self.began.get() + fault.at + fault.lasts;
-        self.coverage.borrow_mut().begins(fault.kind, until);
+        let until = self.began.get() + fault.at + fault.duration_s;
+        self.coverage.borrow_mut().record_start(fault.kind, until);
         match fault.kind {
             FaultKind::Vanish
             | FaultKind::CutOff
@@ -51,12 +51,12 @@
             FaultKind::Kill => self.proxies[fault.target].kill(&self.discoveries[fault.target]).await,
             FaultKind::GiveUpEarly => {
                 self.pools[fault.target].impatient.set(true);
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 self.pools[fault.target].impatient.set(false);
             }
             FaultKind::SlowWriters => {
                 self.pools[fault.target].slow.set(true);
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 self.pools[fault.target].slow.set(false);
             }
             FaultKind::CallersReturn => self.pools[fault.target].close_all(),
@@ -76,11 +76,14 @@
         let standing = hit.iter().any(|e| e.established_calls() > 0);
         let releasing = hit.iter().any(|e| e.released_within(0.2));
         let mut coverage = self.coverage.borrow_mut();
-        let met =
-            [(open, CallState::SetUpOut), (standing, CallState::Standing), (releasing, CallState::InRelease)];
-        met.into_iter().filter(|(is, _)| *is).for_each(|(_, state)| coverage.met(fault.kind, state));
+        let met = [
+            (open, CallState::SetUpPending),
+            (standing, CallState::Established),
+            (releasing, CallState::InRelease),
+        ];
+        met.into_iter().filter(|(is, _)| *is).for_each(|(_, state)| coverage.record_state(fault.kind, state));
         if !open && !standing {
-            coverage.met(fault.kind, CallState::NoCall);
+            coverage.record_state(fault.kind, CallState::NoCall);
         }
     }
 
@@ -93,33 +96,33 @@
         match fault.kind {
             FaultKind::CutOff => {
                 exchange.cut_off();
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 exchange.resume();
             }
             FaultKind::Hang => {
                 exchange.hang();
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 exchange.resume();
             }
             FaultKind::Vanish => {
                 exchange.vanish();
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 self.succeed(fault.target, &exchange);
             }
             FaultKind::Drain => {
                 self.publish(&[(exchange.clone(), Lifecycle::Draining, 0)]);
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 exchange.stop();
                 self.succeed(fault.target, &exchange);
             }
             FaultKind::Die => {
                 exchange.crash();
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 self.same_again(&exchange).await;
             }
             FaultKind::ReplaceAtAddress => {
                 exchange.vanish();
-                sleep(fault.lasts).await;
+                sleep(fault.duration_s).await;
                 self.same_again(&exchange).await;
             }
             _ => {
@@ -167,7 +170,7 @@
             FaultKind::AcceptsLate => Misbehaviour { accept_delay: 0.8, ..calm },
             _ => Misbehaviour { releases_on_other_connection: true, ..calm },
         });
-        sleep(fault.lasts).await;
+        sleep(fault.duration_s).await;
         exchange.set_misbehaviour(calm);
     }
 
@@ -189,7 +192,7 @@
                 _ => discovery.go_silent(),
             }
         }
-        sleep(fault.lasts).await;
+        sleep(fault.duration_s).await;
         for discovery in &self.discoveries {
             // Its address may be taken for a moment more.
             while discovery.recover().is_err() {
--- a/crates/soak/src/trial/mod.rs
+++ b/crates/soak/src/trial/mod.rs
@@ -64,16 +64,16 @@
 /// The figures that a plan's proxies are told, for the judge.
 pub fn deployment_parameters(plan: &Plan) -> DeploymentParameters {
     DeploymentParameters {
-        drain_grace: 0.5,
-        release_pause: 0.3,
+        drain_grace_s: 0.5,
+        release_pause_s: 0.3,
         max_attempts: 4,
         memory_kb: plan.memory_mb * 1024,
         descriptors: plan.descriptors as usize,
         exchange_rate: plan.exchange_rate,
-        cold_from: 0.34,
-        warm_within: 15.0,
-        fall_multiple: 4.0,
-        fall: 2.0,
+        cold_capacity_share: 0.34,
+        warm_up_s: 15.0,
+        overload_multiple: 4.0,
+        overload_window_s: 2.0,
     }
 }
 
--- a/crates/soak/src/trial/watch.rs
+++ b/crates/soak/src/trial/watch.rs
@@ -6,7 +6,7 @@
 use mallowring_standin::sleep;
 
 use super::Stage;
-use crate::judge::view::HELD_UP;
+use crate::judge::view::STALL_THRESHOLD_S;
 
 /// Between two looks at the time.
 const TICK: f64 = 0.01;
@@ -23,7 +23,7 @@
                 let before = now();
                 sleep(TICK).await;
                 let late = now() - before - TICK;
-                if late > HELD_UP {
+                if late > STALL_THRESHOLD_S {
                     stage.record.add("trial", 0, "", Observation::HeldUp(late));
                 }
                 looks += 1;
@@ -45,7 +45,7 @@
             // A proxy that waited for a processor is no slower than its machine.
             let delay = slot.scheduling_delay_ns();
             let waited = delay.saturating_sub(delays[proxy]) as f64 / 1e9;
-            if delays[proxy] > 0 && waited > HELD_UP {
+            if delays[proxy] > 0 && waited > STALL_THRESHOLD_S {
                 self.record.add("trial", proxy, "", Observation::HeldUp(TICK * SAMPLE as f64));
             }
             delays[proxy] = delay;
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -8,16 +8,16 @@
 
 fn deployment_parameters() -> DeploymentParameters {
     DeploymentParameters {
-        drain_grace: 0.5,
-        release_pause: 0.3,
+        drain_grace_s: 0.5,
+        release_pause_s: 0.3,
         max_attempts: 4,
         memory_kb: 32 * 1024,
         descriptors: 256,
         exchange_rate: 10.0,
-        cold_from: 0.34,
-        warm_within: 15.0,
-        fall_multiple: 4.0,
-        fall: 2.0,
+        cold_capacity_share: 0.34,
+        warm_up_s: 15.0,
+        overload_multiple: 4.0,
+        overload_window_s: 2.0,
     }
 }
 
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn only_the_faults_that_are_named_are_drawn() {
-    let options = Options { only: vec![FaultKind::Hang, FaultKind::Kill], most_seconds: Some(4.0) };
+    let options = Options { only: vec![FaultKind::Hang, FaultKind::Kill], max_seconds: Some(4.0) };
     let plan = Plan::draw(3, &options);
     assert!(plan.seconds <= 4.0);
     assert!(plan.faults.iter().all(|fault| options.only.contains(&fault.kind)));
