--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -18,11 +18,11 @@
 use crate::trial::{self, TrialOutcome};
 
 /// A rule was broken.
-const BROKEN: u8 = 1;
+const EXIT_RULE_BROKEN: u8 = 1;
 /// An option was bad, or the trial could not be played.
-const BAD: u8 = 2;
+const EXIT_ERROR: u8 = 2;
 /// Ended by Ctrl-C.
-const INTERRUPTED: i32 = 130;
+const EXIT_INTERRUPTED: i32 = 130;
 
 #[derive(Parser)]
 #[command(
@@ -39,7 +39,7 @@
     /// Play the trials of some seeds.
     Run {
         /// Seeds, as 1..50: from the first to the last, both of them too.
-        #[arg(long, value_parser = seeds, required_unless_present = "kept")]
+        #[arg(long, value_parser = parse_seed_range, required_unless_present = "kept")]
         seeds: Option<(u64, u64)>,
         /// A file of kept trials, one line each: SEED FAULT,... WHY. They are played before the seeds.
         #[arg(long)]
@@ -95,12 +95,15 @@
     }
 }
 
-fn seeds(text: &str) -> Result<(u64, u64), String> {
-    let bad = || format!("'{text}' is no range of seeds, as 1..50");
-    let (first, last) = text.split_once("..").ok_or_else(bad)?;
-    let range = (first.parse().map_err(|_| bad())?, last.trim_start_matches('=').parse().map_err(|_| bad())?);
+fn parse_seed_range(text: &str) -> Result<(u64, u64), String> {
+    let error_message = || format!("'{text}' is not a range of seeds such as 1..50");
+    let (first, last) = text.split_once("..").ok_or_else(error_message)?;
+    let range = (
+        first.parse().map_err(|_| error_message())?,
+        last.trim_start_matches('=').parse().map_err(|_| error_message())?,
+    );
     if range.0 > range.1 {
-        return Err(bad());
+        return Err(error_message());
     }
     Ok(range)
 }
@@ -110,20 +113,20 @@
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
         Err(error) => {
-            let code = if error.use_stderr() { ExitCode::from(BAD) } else { ExitCode::SUCCESS };
+            let code = if error.use_stderr() { ExitCode::from(EXIT_ERROR) } else { ExitCode::SUCCESS };
             // A closed output changes nothing.
             let _ = error.print();
             return code;
         }
     };
-    end_on_interrupt();
+    kill_proxies_on_interrupt();
     match cli.command {
         Command::Run { seeds, kept, jobs, json, common } => {
             let trials = match kept.as_deref().map_or(Ok(Vec::new()), read_kept) {
-                Ok(kept) => kept.into_iter().chain(drawn(seeds, &common)).collect(),
+                Ok(kept) => kept.into_iter().chain(trials_of_seeds(seeds, &common)).collect(),
                 Err(error) => {
                     eprintln!("{error}");
-                    return ExitCode::from(BAD);
+                    return ExitCode::from(EXIT_ERROR);
                 }
             };
             run(trials, jobs.max(1), json, &common)
@@ -139,7 +142,7 @@
 }
 
 /// Ctrl-C leaves no process behind.
-fn end_on_interrupt() {
+fn kill_proxies_on_interrupt() {
     std::thread::spawn(|| {
         let waiting = async {
             let mut signals = Signals::new([Signal::Int, Signal::Term]).ok()?;
@@ -147,37 +150,39 @@
         };
         if smol::block_on(waiting).is_some() {
             kill_all();
-            std::process::exit(INTERRUPTED);
+            std::process::exit(EXIT_INTERRUPTED);
         }
     });
 }
 
 /// One trial to play.
-struct Trial {
+struct TrialSpec {
     seed: u64,
     options: Options,
 }
 
-fn drawn(seeds: Option<(u64, u64)>, common: &Common) -> Vec<Trial> {
-    let trial = |seed| Trial { seed, options: common.options() };
+fn trials_of_seeds(seeds: Option<(u64, u64)>, common: &Common) -> Vec<TrialSpec> {
+    let trial = |seed| TrialSpec { seed, options: common.options() };
     seeds.map_or(Vec::new(), |(first, last)| (first..=last).map(trial).collect())
 }
 
 /// Reads a file of kept trials; what is wrong with it is named by its line.
-fn read_kept(path: &Path) -> Result<Vec<Trial>, String> {
+fn read_kept(path: &Path) -> Result<Vec<TrialSpec>, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let mut trials = Vec::new();
     for (ix, line) in
         text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty() && !line.starts_with('#'))
     {
-        let bad = |what: &str| format!("{}: line {}: {what}", path.display(), ix + 1);
+        let error_message = |message: &str| format!("{}: line {}: {message}", path.display(), ix + 1);
         let mut words = line.split_whitespace();
-        let seed =
-            words.next().and_then(|seed| seed.parse().ok()).ok_or_else(|| bad("it begins with no seed"))?;
-        let faults = words.next().ok_or_else(|| bad("it names no faults"))?;
+        let seed = words
+            .next()
+            .and_then(|seed| seed.parse().ok())
+            .ok_or_else(|| error_message("the line does not start with a seed"))?;
+        let faults = words.next().ok_or_else(|| error_message("the line names no faults"))?;
         let only: Result<Vec<FaultKind>, String> = faults.split(',').map(str::parse).collect();
-        let options = Options { only: only.map_err(|what| bad(&what))?, max_seconds: None };
-        trials.push(Trial { seed, options });
+        let options = Options { only: only.map_err(|message| error_message(&message))?, max_seconds: None };
+        trials.push(TrialSpec { seed, options });
     }
     Ok(trials)
 }
@@ -189,58 +194,58 @@
     Ok((plan, outcome, verdict))
 }
 
-fn keep(seed: u64, folder: &Path, outcome: &TrialOutcome, text: &str) {
-    let folder = folder.join(seed.to_string());
-    let written: std::io::Result<()> = std::fs::create_dir_all(&folder).and_then(|()| {
-        std::fs::write(folder.join("report"), text)?;
+fn write_logs(seed: u64, directory: &Path, outcome: &TrialOutcome, text: &str) {
+    let directory = directory.join(seed.to_string());
+    let written: std::io::Result<()> = std::fs::create_dir_all(&directory).and_then(|()| {
+        std::fs::write(directory.join("report"), text)?;
         let mut logs = outcome.logs.iter().enumerate();
-        logs.try_for_each(|(n, log)| std::fs::write(folder.join(format!("n{n}.log")), log))
+        logs.try_for_each(|(n, log)| std::fs::write(directory.join(format!("n{n}.log")), log))
     });
     if let Err(error) = written {
-        eprintln!("{}: {error}", folder.display());
+        eprintln!("{}: {error}", directory.display());
     }
 }
 
-fn run(trials: Vec<Trial>, jobs: usize, json: bool, common: &Common) -> ExitCode {
-    let bar = ProgressBar::with_draw_target(Some(trials.len() as u64), ProgressDrawTarget::stderr());
-    let (total, failed) = (Mutex::new(Summary::default()), AtomicUsize::new(0));
+fn run(trials: Vec<TrialSpec>, jobs: usize, json: bool, common: &Common) -> ExitCode {
+    let progress = ProgressBar::with_draw_target(Some(trials.len() as u64), ProgressDrawTarget::stderr());
+    let (summary, failed_trials) = (Mutex::new(Summary::default()), AtomicUsize::new(0));
     let next = Mutex::new(trials.into_iter());
-    let work = || loop {
+    let worker = || loop {
         let trial = next.lock().ok().and_then(|mut trials| trials.next());
-        let Some(Trial { seed, options }) = trial else { return };
+        let Some(TrialSpec { seed, options }) = trial else { return };
         match play(seed, &options, common) {
             Ok((plan, outcome, verdict)) => {
                 let text = report::breaches(&plan, &outcome, &verdict);
                 if !text.is_empty() {
                     let text = format!("{}{text}", report::timeline(&plan));
-                    bar.suspend(|| eprint!("{text}"));
-                    keep(seed, &common.logs, &outcome, &text);
+                    progress.suspend(|| eprint!("{text}"));
+                    write_logs(seed, &common.logs, &outcome, &text);
                 }
-                if let Ok(mut total) = total.lock() {
-                    total.add(seed, &verdict, &outcome.coverage);
+                if let Ok(mut summary) = summary.lock() {
+                    summary.add(seed, &verdict, &outcome.coverage);
                 }
             }
             Err(error) => {
-                failed.fetch_add(1, Ordering::Relaxed);
-                bar.suspend(|| eprintln!("seed {seed}: {error}"));
+                failed_trials.fetch_add(1, Ordering::Relaxed);
+                progress.suspend(|| eprintln!("seed {seed}: {error}"));
             }
         }
-        bar.inc(1);
+        progress.inc(1);
     };
-    std::thread::scope(|scope| (0..jobs).for_each(|_| drop(scope.spawn(work))));
-    bar.finish_and_clear();
-    let Ok(total) = total.into_inner() else { return ExitCode::from(BAD) };
+    std::thread::scope(|scope| (0..jobs).for_each(|_| drop(scope.spawn(worker))));
+    progress.finish_and_clear();
+    let Ok(summary) = summary.into_inner() else { return ExitCode::from(EXIT_ERROR) };
     match json {
-        true => println!("{}", serde_json::to_string_pretty(&total).unwrap_or_default()),
-        false => print!("{}", total.text()),
+        true => println!("{}", serde_json::to_string_pretty(&summary).unwrap_or_default()),
+        false => print!("{}", summary.text()),
     }
-    if failed.into_inner() > 0 {
-        return ExitCode::from(BAD);
+    if failed_trials.into_inner() > 0 {
+        return ExitCode::from(EXIT_ERROR);
     }
-    if total.passed() {
+    if summary.passed() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_RULE_BROKEN)
     }
 }
 
@@ -249,7 +254,7 @@
         Ok(done) => done,
         Err(error) => {
             eprintln!("seed {seed}: {error}");
-            return ExitCode::from(BAD);
+            return ExitCode::from(EXIT_ERROR);
         }
     };
     print!("{}", report::timeline(&plan));
@@ -260,10 +265,10 @@
     }
     print!("{}", report::breaches(&plan, &outcome, &verdict));
     println!("{} calls judged, {} not judged", verdict.judged, verdict.not_judged);
-    keep(seed, &common.logs, &outcome, &report::breaches(&plan, &outcome, &verdict));
+    write_logs(seed, &common.logs, &outcome, &report::breaches(&plan, &outcome, &verdict));
     if verdict.breaches.is_empty() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_RULE_BROKEN)
     }
 }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -178,7 +178,7 @@
     type Err = String;
 
     fn from_str(name: &str) -> Result<FaultKind, String> {
-        let known = FaultKind::ALL.into_iter().find(|kind| kind.name() == name);
-        known.ok_or_else(|| format!("'{name}' is no fault; list-faults names them"))
+        let kind = FaultKind::ALL.into_iter().find(|kind| kind.name() == name);
+        kind.ok_or_else(|| format!("unknown fault '{name}'; list-faults prints the known ones"))
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -83,7 +83,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (proxies, exchanges) = (rng.random_range(2..=6), rng.random_range(3..=12));
         let seconds: f64 = rng.random_range(10.0..=25.0);
-        let seconds = options.max_seconds.map_or(seconds, |most| seconds.min(most));
+        let seconds = options.max_seconds.map_or(seconds, |max| seconds.min(max));
         let give_up = [0.3, 0.6, 1.0, 2.0, 3.0, 6.0, 9.0][rng.random_range(0..7)];
         let mut plan = Plan {
             seed,
@@ -114,19 +114,22 @@
                     1 | 2 => rng.random_range(20..200),
                     _ => rng.random_range(200..8_000),
                 };
-                let waits = self.give_up * rng.random_range(0.4..=1.0);
-                let slow = rng.random_range(0..20) == 0;
-                let answer =
-                    if slow { waits * rng.random_range(0.5..1.5) } else { rng.random_range(0.002..0.06) };
+                let caller_wait_s = self.give_up * rng.random_range(0.4..=1.0);
+                let slow_answer = rng.random_range(0..20) == 0;
+                let answer_s = if slow_answer {
+                    caller_wait_s * rng.random_range(0.5..1.5)
+                } else {
+                    rng.random_range(0.002..0.06)
+                };
                 let hangs_up = rng.random_range(0..6) == 0;
                 calls.push(PlannedCall {
                     at,
                     proxy,
                     caller: rng.random_range(0..self.callers),
                     exchange: rng.random_range(0..self.exchanges),
-                    answer_ms: (answer * 1000.0) as u64,
+                    answer_ms: (answer_s * 1000.0) as u64,
                     hold_ms,
-                    deadline_ms: (waits * 1000.0).round() as u64,
+                    deadline_ms: (caller_wait_s * 1000.0).round() as u64,
                     hang_up_ms: hangs_up.then(|| rng.random_range(5..3_000)),
                 });
                 at += -(1.0 - rng.random_range(0.0..1.0_f64)).ln() / rate;
@@ -143,25 +146,25 @@
             false => options.only.clone(),
         };
         let mut faults = Vec::new();
-        let mut start: f64 = rng.random_range(1.0..3.0);
-        while start < self.seconds - 1.0 {
+        let mut burst_start: f64 = rng.random_range(1.0..3.0);
+        while burst_start < self.seconds - 1.0 {
             // Signals come in series.
-            let series = rng.random_range(0..4) == 0 && kinds.contains(&FaultKind::Terminate);
-            let kind_of_series = if series { Some(FaultKind::Terminate) } else { None };
+            let is_signal_series = rng.random_range(0..4) == 0 && kinds.contains(&FaultKind::Terminate);
+            let series_kind = if is_signal_series { Some(FaultKind::Terminate) } else { None };
             for n in 0..rng.random_range(1..=4) {
                 let drawn = kinds[rng.random_range(0..kinds.len())];
-                let kind = kind_of_series.filter(|_| n > 0).unwrap_or(drawn);
+                let kind = series_kind.filter(|_| n > 0).unwrap_or(drawn);
                 let target = match kind.target() {
                     Target::Exchange => rng.random_range(0..self.exchanges),
                     Target::Proxy => rng.random_range(0..self.proxies),
                     Target::Discovery => 0,
                 };
                 let (shortest, longest) = kind.duration_range_s();
-                let at = start + rng.random_range(0.0..1.2);
+                let at = burst_start + rng.random_range(0.0..1.2);
                 let duration_s = rng.random_range(shortest..=longest);
                 faults.push(PlannedFault { at, duration_s, kind, target });
             }
-            start += rng.random_range(2.0..6.0);
+            burst_start += rng.random_range(2.0..6.0);
         }
         faults.sort_by(|a, b| a.at.total_cmp(&b.at));
         faults
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -113,7 +113,7 @@
         let _ = writeln!(
             text,
             "    {:9.3} {:<12} {:?}",
-            entry.at - outcome.began,
+            entry.at - outcome.load_started_at,
             entry.observer,
             entry.observation
         );
@@ -135,7 +135,7 @@
         if *n > MAX_PRINTED_BREACHES {
             continue;
         }
-        let at = at - outcome.began;
+        let at = at - outcome.load_started_at;
         let _ =
             writeln!(text, "  {at:9.3} rule '{}': n{proxy} {call} {details} ({})", rule.name, rule.source);
         if !call.is_empty() {
--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -8,140 +8,157 @@
 use mallowring_standin::record::now;
 use mallowring_standin::sleep;
 
-use super::proxies::Life;
-use super::{Stage, FIRST_NUMBER};
+use super::proxies::ProcessState;
+use super::{RunningTrial, FIRST_EXCHANGE_NUMBER};
 use crate::judge::view::CLOSE_CROSSING_S;
 use crate::plan::PlannedCall;
 
 /// A connection that has had no call on it for so long is closed (PROTOCOL, 'Callers to signalling proxies').
-const IDLE: f64 = 4.0;
+const IDLE_TIMEOUT_S: f64 = 4.0;
 /// New connections keep coming for so long after SIGTERM (PROTOCOL, 'Figures').
-const CONNECT_AFTER_TERM: f64 = 0.4;
+const CONNECT_WINDOW_AFTER_TERM_S: f64 = 0.4;
 /// A caller notices an answer, or that it waits in vain, within so long.
-const LOOK: f64 = 0.005;
+const POLL_INTERVAL_S: f64 = 0.005;
 /// Bytes of a piece, and the pause after it, of a slow writer.
-const PIECE: (usize, f64) = (40, 0.01);
+const SLOW_WRITE: (usize, f64) = (40, 0.01);
 /// A caller that gives up early waits for this share of its time.
-const EARLY: f64 = 0.15;
+const EARLY_CANCEL_SHARE: f64 = 0.15;
 
-type Line = Rc<Caller>;
+type CallerConnection = Rc<Caller>;
 
 /// The callers of one proxy.
-pub struct Pool {
-    lines: RefCell<Vec<Option<Line>>>,
+pub struct CallerPool {
+    connections: RefCell<Vec<Option<CallerConnection>>>,
     /// They give up early and ask again.
     pub impatient: Cell<bool>,
     /// They write in pieces.
     pub slow: Cell<bool>,
 }
 
-impl Pool {
+impl CallerPool {
     /// So many callers, none of them connected.
-    pub fn new(callers: usize) -> Pool {
-        let lines = RefCell::new((0..callers).map(|_| None).collect());
-        Pool { lines, impatient: Cell::new(false), slow: Cell::new(false) }
+    pub fn new(callers: usize) -> CallerPool {
+        let connections = RefCell::new((0..callers).map(|_| None).collect());
+        CallerPool { connections, impatient: Cell::new(false), slow: Cell::new(false) }
     }
 
     /// All of them close their connections.
     pub fn close_all(&self) {
-        self.lines.borrow_mut().iter_mut().filter_map(Option::take).for_each(|line| line.close());
+        self.connections
+            .borrow_mut()
+            .iter_mut()
+            .filter_map(Option::take)
+            .for_each(|connection| connection.close());
     }
 
     /// Those that have had no call for long close theirs.
     pub fn close_idle(&self) {
-        for held in self.lines.borrow_mut().iter_mut() {
-            if let Some(line) = held.take_if(|line| line.is_idle_for(IDLE)) {
-                line.close();
+        for current in self.connections.borrow_mut().iter_mut() {
+            if let Some(connection) = current.take_if(|connection| connection.is_idle_for(IDLE_TIMEOUT_S)) {
+                connection.close();
             }
         }
     }
 }
 
-impl Stage {
+impl RunningTrial {
     /// The connection of a caller: the one it has, else a new one. What is sent `again` may connect whenever it can.
-    async fn line(&self, proxy: usize, caller: usize, again: bool) -> Option<Line> {
-        let held = self.pools[proxy].lines.borrow()[caller].clone();
-        if let Some(line) = held.filter(|line| line.closed_at().is_none()) {
-            return Some(line);
+    async fn connection(&self, proxy: usize, caller: usize, is_resend: bool) -> Option<CallerConnection> {
+        let current = self.pools[proxy].connections.borrow()[caller].clone();
+        if let Some(connection) = current.filter(|connection| connection.closed_at().is_none()) {
+            return Some(connection);
         }
-        let slot = &self.proxies[proxy];
-        let may_connect = match slot.life() {
-            Life::Running => true,
-            Life::Ending(since) => again || now() - since < CONNECT_AFTER_TERM,
-            Life::Away => false,
+        let supervised = &self.proxies[proxy];
+        let may_connect = match supervised.process_state() {
+            ProcessState::Running => true,
+            ProcessState::Terminating(since) => is_resend || now() - since < CONNECT_WINDOW_AFTER_TERM_S,
+            ProcessState::NotReady => false,
         };
         if !may_connect {
             return None;
         }
-        let number = self.next_name.get();
-        self.next_name.set(number + 1);
+        let number = self.next_id.get();
+        self.next_id.set(number + 1);
         let name = format!("c{proxy}.{caller}.{number}");
-        let connected = Caller::connect(&self.tasks, &self.record, &name, proxy, slot.listen()).await;
-        let line = Rc::new(connected.ok()?);
-        self.pools[proxy].lines.borrow_mut()[caller] = Some(line.clone());
-        Some(line)
+        let connected =
+            Caller::connect(&self.executor, &self.record, &name, proxy, supervised.listen()).await;
+        let connection = Rc::new(connected.ok()?);
+        self.pools[proxy].connections.borrow_mut()[caller] = Some(connection.clone());
+        Some(connection)
     }
 
     /// One call, and its caller's second try where callers are impatient.
     pub(super) async fn play_call(&self, planned: PlannedCall) {
-        let number = self.next_name.get();
-        self.next_name.set(number + 1);
+        let number = self.next_id.get();
+        self.next_id.set(number + 1);
         let call = format!("{:02x}{:014x}", planned.proxy, number);
-        let answered = self.ask(&planned, &call).await;
+        let answered = self.request_call(&planned, &call).await;
         if !answered && self.pools[planned.proxy].impatient.get() {
-            let number = self.next_name.get();
-            self.next_name.set(number + 1);
-            self.ask(&planned, &format!("{:02x}{:014x}", planned.proxy, number)).await;
+            let number = self.next_id.get();
+            self.next_id.set(number + 1);
+            self.request_call(&planned, &format!("{:02x}{:014x}", planned.proxy, number)).await;
         }
     }
 
     /// Asks for a call and waits; returns whether there was a final answer.
-    async fn ask(&self, planned: &PlannedCall, call: &str) -> bool {
+    async fn request_call(&self, planned: &PlannedCall, call: &str) -> bool {
         let script = CallScript { answer_ms: planned.answer_ms, hold_ms: planned.hold_ms };
         let set_up = SetUp {
             call_id: call.to_owned(),
             number: script.called_number(),
             deadline_ms: planned.deadline_ms,
-            destination: FIRST_NUMBER + planned.exchange as i64,
+            destination: FIRST_EXCHANGE_NUMBER + planned.exchange as i64,
         };
-        let mut crossed = false;
+        let mut resent = false;
         loop {
-            let Some(line) = self.line(planned.proxy, planned.caller, crossed).await else { return false };
-            if !self.write(&line, planned.proxy, &set_up).await {
+            let Some(connection) = self.connection(planned.proxy, planned.caller, resent).await else {
+                return false;
+            };
+            if !self.send_set_up(&connection, planned.proxy, &set_up).await {
                 return false;
             }
-            match self.wait(&line, planned, call).await {
-                End::Answered => {
+            match self.wait_for_answer(&connection, planned, call).await {
+                WaitResult::Answered => {
                     self.hang_up(planned, call).await;
                     return true;
                 }
                 // It crossed the close of its connection: it is sent again, once.
-                End::Crossed if !crossed => crossed = true,
-                End::Crossed | End::Over => return false,
+                WaitResult::CrossedClose if !resent => resent = true,
+                WaitResult::CrossedClose | WaitResult::Ended => return false,
             }
         }
     }
 
-    async fn write(&self, line: &Line, proxy: usize, set_up: &SetUp) -> bool {
-        let (piece, pause) = if self.pools[proxy].slow.get() { PIECE } else { (usize::MAX, 0.0) };
-        line.send_set_up_in_pieces(set_up, piece, pause).await.is_ok()
+    async fn send_set_up(&self, connection: &CallerConnection, proxy: usize, set_up: &SetUp) -> bool {
+        let (piece, pause) = if self.pools[proxy].slow.get() { SLOW_WRITE } else { (usize::MAX, 0.0) };
+        connection.send_set_up_in_pieces(set_up, piece, pause).await.is_ok()
     }
 
-    async fn wait(&self, line: &Line, planned: &PlannedCall, call: &str) -> End {
-        let patience = planned.deadline_ms as f64 / 1000.0;
-        let asked = now();
-        let early = self.pools[planned.proxy].impatient.get();
+    async fn wait_for_answer(
+        &self,
+        connection: &CallerConnection,
+        planned: &PlannedCall,
+        call: &str,
+    ) -> WaitResult {
+        let deadline_s = planned.deadline_ms as f64 / 1000.0;
+        let sent_at = now();
+        let gives_up_early = self.pools[planned.proxy].impatient.get();
         loop {
-            sleep(LOOK).await;
-            let Some(since) = line.pending_since(call) else { return End::Answered };
-            if let Some(over) = line.closed_at() {
-                return if over - since <= CLOSE_CROSSING_S { End::Crossed } else { End::Over };
+            sleep(POLL_INTERVAL_S).await;
+            let Some(since) = connection.pending_since(call) else { return WaitResult::Answered };
+            if let Some(closed_at) = connection.closed_at() {
+                return if closed_at - since <= CLOSE_CROSSING_S {
+                    WaitResult::CrossedClose
+                } else {
+                    WaitResult::Ended
+                };
             }
             // The half second for which an answer still counts is waited for.
-            let waits = if early { patience * EARLY } else { patience + 0.6 };
-            if now() - asked >= waits {
-                let _ = line.cancel_set_up(call).await;
-                return End::Over;
+            let wait_limit_s =
+                if gives_up_early { deadline_s * EARLY_CANCEL_SHARE } else { deadline_s + 0.6 };
+            if now() - sent_at >= wait_limit_s {
+                let _ = connection.cancel_set_up(call).await;
+                return WaitResult::Ended;
             }
         }
     }
@@ -149,29 +166,29 @@
     async fn hang_up(&self, planned: &PlannedCall, call: &str) {
         let Some(ms) = planned.hang_up_ms else { return };
         sleep(ms as f64 / 1000.0).await;
-        if self.over.get() {
+        if self.finished.get() {
             return;
         }
-        let standing = self.record.first_seen(call, |observation| {
+        let established_at = self.record.first_seen(call, |observation| {
             matches!(observation, mallowring_standin::record::Observation::Answered { status: 200, .. })
         });
-        let released = self.record.first_seen(call, |observation| {
+        let released_at = self.record.first_seen(call, |observation| {
             matches!(observation, mallowring_standin::record::Observation::ReleaseHeard(_))
         });
-        if standing.is_none() || released.is_some() {
+        if established_at.is_none() || released_at.is_some() {
             return;
         }
         // On whatever connection there is.
-        if let Some(line) = self.line(planned.proxy, planned.caller, false).await {
-            let _ = line.hang_up(call).await;
+        if let Some(connection) = self.connection(planned.proxy, planned.caller, false).await {
+            let _ = connection.hang_up(call).await;
         }
     }
 }
 
 /// How a wait for an answer ended.
-enum End {
+enum WaitResult {
     Answered,
     /// The proxy closed the connection while the set-up was on its way.
-    Crossed,
-    Over,
+    CrossedClose,
+    Ended,
 }
--- a/crates/soak/src/trial/faults.rs
+++ b/crates/soak/src/trial/faults.rs
@@ -8,22 +8,22 @@
 use smol::io::AsyncWriteExt;
 use smol::net::TcpStream;
 
-use super::{unix_ms, Stage};
+use super::{unix_ms, RunningTrial};
 use crate::coverage::CallState;
 use crate::fault::FaultKind;
 use crate::plan::PlannedFault;
 
 /// Connections of a crowd.
-const CROWD: usize = 150;
+const CROWD_CONNECTIONS: usize = 150;
 /// How long a crowd stays on each connection.
-const CROWD_STAYS: f64 = 3.0;
+const CROWD_HOLD_S: f64 = 3.0;
 /// From the end of a process that discovery does not know yet to the news of it.
-const NEWS_DELAY: f64 = 1.5;
+const ROSTER_DELAY_S: f64 = 1.5;
 
-impl Stage {
+impl RunningTrial {
     pub(super) async fn play_fault(self: Rc<Self>, fault: PlannedFault) {
-        self.count(&fault);
-        let until = self.began.get() + fault.at + fault.duration_s;
+        self.record_coverage(&fault);
+        let until = self.load_started_at.get() + fault.at + fault.duration_s;
         self.coverage.borrow_mut().record_start(fault.kind, until);
         match fault.kind {
             FaultKind::Vanish
@@ -40,13 +40,13 @@
             | FaultKind::AcceptsLate
             | FaultKind::ReleasesElsewhere => self.misbehave(&fault).await,
             FaultKind::Reset | FaultKind::Close | FaultKind::SilentConnection => {
-                self.spoil_connections(&fault)
+                self.disturb_connections(&fault)
             }
             FaultKind::DiscoveryDown | FaultKind::DiscoverySilent => self.stop_discovery(&fault).await,
             FaultKind::DiscoveryMoves => self.move_discovery().await,
             FaultKind::Terminate => {
-                let (slot, discovery) = (&self.proxies[fault.target], &self.discoveries[fault.target]);
-                slot.terminate(self.plan.kill_after(), discovery).await;
+                let (supervised, discovery) = (&self.proxies[fault.target], &self.discoveries[fault.target]);
+                supervised.terminate(self.plan.kill_after(), discovery).await;
             }
             FaultKind::Kill => self.proxies[fault.target].kill(&self.discoveries[fault.target]).await,
             FaultKind::GiveUpEarly => {
@@ -60,36 +60,39 @@
                 self.pools[fault.target].slow.set(false);
             }
             FaultKind::CallersReturn => self.pools[fault.target].close_all(),
-            FaultKind::BadCallers => self.bad_callers(fault.target).await,
-            FaultKind::Crowd => self.crowd(fault.target),
+            FaultKind::BadCallers => self.send_malformed_requests(fault.target).await,
+            FaultKind::Crowd => self.open_crowd(fault.target),
         }
     }
 
     /// In which states a fault meets calls.
-    fn count(&self, fault: &PlannedFault) {
+    fn record_coverage(&self, fault: &PlannedFault) {
         let exchanges = self.exchanges.borrow();
-        let hit: Vec<&Exchange> = match fault.kind.target() {
+        let affected: Vec<&Exchange> = match fault.kind.target() {
             crate::fault::Target::Exchange => vec![&exchanges[fault.target]],
             _ => exchanges.iter().collect(),
         };
-        let open = hit.iter().any(|e| e.pending_set_ups() > 0);
-        let standing = hit.iter().any(|e| e.established_calls() > 0);
-        let releasing = hit.iter().any(|e| e.released_within(0.2));
+        let pending = affected.iter().any(|e| e.pending_set_ups() > 0);
+        let established = affected.iter().any(|e| e.established_calls() > 0);
+        let releasing = affected.iter().any(|e| e.released_within(0.2));
         let mut coverage = self.coverage.borrow_mut();
-        let met = [
-            (open, CallState::SetUpPending),
-            (standing, CallState::Established),
+        let states = [
+            (pending, CallState::SetUpPending),
+            (established, CallState::Established),
             (releasing, CallState::InRelease),
         ];
-        met.into_iter().filter(|(is, _)| *is).for_each(|(_, state)| coverage.record_state(fault.kind, state));
-        if !open && !standing {
+        states
+            .into_iter()
+            .filter(|(is, _)| *is)
+            .for_each(|(_, state)| coverage.record_state(fault.kind, state));
+        if !pending && !established {
             coverage.record_state(fault.kind, CallState::NoCall);
         }
     }
 
     /// Faults that change what an exchange is, one at a time for each.
     async fn change_exchange(self: &Rc<Self>, fault: &PlannedFault) {
-        if !self.taken.borrow_mut().insert(fault.target) {
+        if !self.changing_exchanges.borrow_mut().insert(fault.target) {
             return;
         }
         let exchange = self.exchanges.borrow()[fault.target].clone();
@@ -107,74 +110,76 @@
             FaultKind::Vanish => {
                 exchange.vanish();
                 sleep(fault.duration_s).await;
-                self.succeed(fault.target, &exchange);
+                self.replace_with_new_exchange(fault.target, &exchange);
             }
             FaultKind::Drain => {
                 self.publish(&[(exchange.clone(), Lifecycle::Draining, 0)]);
                 sleep(fault.duration_s).await;
                 exchange.stop();
-                self.succeed(fault.target, &exchange);
+                self.replace_with_new_exchange(fault.target, &exchange);
             }
             FaultKind::Die => {
                 exchange.crash();
                 sleep(fault.duration_s).await;
-                self.same_again(&exchange).await;
+                self.restart_at_address(&exchange).await;
             }
             FaultKind::ReplaceAtAddress => {
                 exchange.vanish();
                 sleep(fault.duration_s).await;
-                self.same_again(&exchange).await;
+                self.restart_at_address(&exchange).await;
             }
             _ => {
                 let started = unix_ms();
                 exchange.restart_at_once();
                 exchange.record_cold_start();
-                sleep(NEWS_DELAY).await;
+                sleep(ROSTER_DELAY_S).await;
                 self.publish(&[(exchange, Lifecycle::Ready, started)]);
             }
         }
-        self.taken.borrow_mut().remove(&fault.target);
+        self.changing_exchanges.borrow_mut().remove(&fault.target);
     }
 
     /// Another exchange takes the number of one that is gone.
-    fn succeed(&self, ix: usize, old: &Exchange) {
-        let number = self.next_name.get();
-        self.next_name.set(number + 1);
-        let (name, proxies) = (format!("s{ix}-{number}"), self.plan.proxies);
-        let Ok(new) = Exchange::start(&self.tasks, &self.record, &name, old.number(), proxies) else {
+    fn replace_with_new_exchange(&self, exchange_index: usize, old: &Exchange) {
+        let number = self.next_id.get();
+        self.next_id.set(number + 1);
+        let (name, proxies) = (format!("s{exchange_index}-{number}"), self.plan.proxies);
+        let Ok(new) = Exchange::start(&self.executor, &self.record, &name, old.number(), proxies) else {
             return;
         };
         new.record_cold_start();
         self.publish(&[(old.clone(), Lifecycle::Gone, 0), (new.clone(), Lifecycle::Ready, unix_ms())]);
-        self.exchanges.borrow_mut()[ix] = new;
+        self.exchanges.borrow_mut()[exchange_index] = new;
     }
 
     /// Another process at the same address, of which discovery tells later.
-    async fn same_again(&self, exchange: &Exchange) {
+    async fn restart_at_address(&self, exchange: &Exchange) {
         let started = unix_ms();
         if exchange.replace().await.is_ok() {
             exchange.record_cold_start();
-            sleep(NEWS_DELAY).await;
+            sleep(ROSTER_DELAY_S).await;
             self.publish(&[(exchange.clone(), Lifecycle::Ready, started)]);
         }
     }
 
     async fn misbehave(&self, fault: &PlannedFault) {
         let exchange = self.exchanges.borrow()[fault.target].clone();
-        let calm = Misbehaviour::default();
+        let no_misbehaviour = Misbehaviour::default();
         exchange.set_misbehaviour(match fault.kind {
-            FaultKind::AnswersLate => Misbehaviour { answer_delay: self.plan.give_up * 0.7, ..calm },
-            FaultKind::AnswersTwice => Misbehaviour { duplicate_answers: true, ..calm },
-            FaultKind::AnswersSpoilt => Misbehaviour { malformed_answers: true, ..calm },
-            FaultKind::Pieces => Misbehaviour { fragmented_writes: true, ..calm },
-            FaultKind::AcceptsLate => Misbehaviour { accept_delay: 0.8, ..calm },
-            _ => Misbehaviour { releases_on_other_connection: true, ..calm },
+            FaultKind::AnswersLate => {
+                Misbehaviour { answer_delay: self.plan.give_up * 0.7, ..no_misbehaviour }
+            }
+            FaultKind::AnswersTwice => Misbehaviour { duplicate_answers: true, ..no_misbehaviour },
+            FaultKind::AnswersSpoilt => Misbehaviour { malformed_answers: true, ..no_misbehaviour },
+            FaultKind::Pieces => Misbehaviour { fragmented_writes: true, ..no_misbehaviour },
+            FaultKind::AcceptsLate => Misbehaviour { accept_delay: 0.8, ..no_misbehaviour },
+            _ => Misbehaviour { releases_on_other_connection: true, ..no_misbehaviour },
         });
         sleep(fault.duration_s).await;
-        exchange.set_misbehaviour(calm);
+        exchange.set_misbehaviour(no_misbehaviour);
     }
 
-    fn spoil_connections(&self, fault: &PlannedFault) {
+    fn disturb_connections(&self, fault: &PlannedFault) {
         let exchange = self.exchanges.borrow()[fault.target].clone();
         for proxy in 0..self.plan.proxies {
             match fault.kind {
@@ -202,47 +207,48 @@
     }
 
     async fn move_discovery(&self) {
-        for (slot, discovery) in self.proxies.iter().zip(&self.discoveries) {
+        for (supervised, discovery) in self.proxies.iter().zip(&self.discoveries) {
             if discovery.change_address().is_ok() {
-                slot.configure(discovery).await;
+                supervised.reconfigure(discovery).await;
             }
         }
     }
 
     /// Callers whose messages make no sense, each on a connection of its own.
-    async fn bad_callers(&self, proxy: usize) {
-        let twice = "INVITE sip:a5-h10@net SIP/2.0\r\nCall-ID: ffffffffffffffff\r\nCSeq: 1 INVITE\r\n\
+    async fn send_malformed_requests(&self, proxy: usize) {
+        let duplicate_call_id =
+            "INVITE sip:a5-h10@net SIP/2.0\r\nCall-ID: ffffffffffffffff\r\nCSeq: 1 INVITE\r\n\
             X-Tier: alarm\r\nX-Deadline: 200\r\nX-Attrs: dest:100\r\nContent-Length: 0\r\n\r\n"
-            .repeat(2);
-        let spoilt: [&[u8]; 6] = [
+                .repeat(2);
+        let malformed: [&[u8]; 6] = [
             b"\0\xff\xfe garbage \r\n\r\n",
             b"INVITE sip:a@net SIP/2.0\r\nCall-ID: 0123456789abcdef\r\nContent-Length: -4\r\n\r\n",
             b"INVITE sip:a@net SIP/2.0\r\nCall-ID: 0123456789abcdef\r\nCSeq: 1 INVITE\r\nContent-Length: 9999\r\n\r\nabc",
             b"SIP/2.0 200 OK\r\nCall-ID: 0123456789abcdef\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n",
             b"BYE sip:x@net SIP/2.0\r\nCall-ID: 0123456789abcdef\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n",
-            twice.as_bytes(),
+            duplicate_call_id.as_bytes(),
         ];
-        for bytes in spoilt {
+        for bytes in malformed {
             let Ok(mut stream) = TcpStream::connect(self.proxies[proxy].listen()).await else { return };
             // Whether the proxy reads it is its own matter.
             let _ = stream.write_all(bytes).await;
-            let held = async move {
+            let keep_open = async move {
                 sleep(1.0).await;
                 drop(stream);
             };
-            self.tasks.spawn(held).detach();
+            self.executor.spawn(keep_open).detach();
         }
     }
 
-    fn crowd(&self, proxy: usize) {
-        for _ in 0..CROWD {
+    fn open_crowd(&self, proxy: usize) {
+        for _ in 0..CROWD_CONNECTIONS {
             let listen = self.proxies[proxy].listen();
-            let one = async move {
+            let connection = async move {
                 let Ok(mut stream) = TcpStream::connect(listen).await else { return };
                 let _ = stream.write_all(b"INVITE sip:a@net SIP/2.0\r\nCall-ID: 0123").await;
-                sleep(CROWD_STAYS).await;
+                sleep(CROWD_HOLD_S).await;
             };
-            self.tasks.spawn(one).detach();
+            self.executor.spawn(connection).detach();
         }
     }
 }
--- a/crates/soak/src/trial/mod.rs
+++ b/crates/soak/src/trial/mod.rs
@@ -11,24 +11,24 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use callers::Pool;
+use callers::CallerPool;
 use mallowring_standin::discovery::{Discovery, Lifecycle, RosterEntry};
 use mallowring_standin::exchange::Exchange;
 use mallowring_standin::proxy::ProxyConfig;
 use mallowring_standin::record::{now, Entry, Record};
 use mallowring_standin::{run, sleep, Executor};
-use proxies::ProxySlot;
+use proxies::SupervisedProxy;
 
 use crate::coverage::Coverage;
 use crate::judge::DeploymentParameters;
 use crate::plan::Plan;
 
 /// The first number of an exchange; the proxies' own exchanges have smaller ones.
-const FIRST_NUMBER: i64 = 100;
+const FIRST_EXCHANGE_NUMBER: i64 = 100;
 /// After the load: all that is owed by then has to be told.
-const AFTER_LOAD: f64 = 9.5;
+const DRAIN_TIME_S: f64 = 9.5;
 /// A proxy that starts is waited for so long before the load begins.
-const READY_WITHIN: f64 = 20.0;
+const READY_TIMEOUT_S: f64 = 20.0;
 
 /// What a trial left behind.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// The record.
     pub entries: Vec<Entry>,
     /// When the load began, in seconds of Unix time.
-    pub began: f64,
+    pub load_started_at: f64,
     /// How often each fault met each state.
     pub coverage: Coverage,
     /// The logs of the proxies, with those of earlier processes.
@@ -44,21 +44,21 @@
 }
 
 /// Everything of a trial that is under way.
-struct Stage {
-    tasks: Executor,
+struct RunningTrial {
+    executor: Executor,
     record: Record,
     plan: Plan,
     /// The exchange that serves each number now.
     exchanges: RefCell<Vec<Exchange>>,
     /// Exchanges in the middle of a fault that changes their state.
-    taken: RefCell<BTreeSet<usize>>,
-    next_name: Cell<u64>,
+    changing_exchanges: RefCell<BTreeSet<usize>>,
+    next_id: Cell<u64>,
     discoveries: Vec<Discovery>,
-    proxies: Vec<ProxySlot>,
-    pools: Vec<Pool>,
+    proxies: Vec<SupervisedProxy>,
+    pools: Vec<CallerPool>,
     coverage: RefCell<Coverage>,
-    began: Cell<f64>,
-    over: Cell<bool>,
+    load_started_at: Cell<f64>,
+    finished: Cell<bool>,
 }
 
 /// The figures that a plan's proxies are told, for the judge.
@@ -80,94 +80,101 @@
 /// Plays a plan with a program.
 pub fn play(plan: &Plan, program: &Path) -> io::Result<TrialOutcome> {
     let (plan, program) = (plan.clone(), program.to_owned());
-    run(async |tasks| {
-        let stage = Rc::new(Stage::set_up(tasks, plan, program).await?);
-        stage.clone().play().await;
-        let logs = stage.proxies.iter().map(ProxySlot::log).collect();
-        let coverage = stage.coverage.borrow().clone();
-        Ok(TrialOutcome { entries: stage.record.entries(), began: stage.began.get(), coverage, logs })
+    run(async |executor| {
+        let trial = Rc::new(RunningTrial::set_up(executor, plan, program).await?);
+        trial.clone().play().await;
+        let logs = trial.proxies.iter().map(SupervisedProxy::log).collect();
+        let coverage = trial.coverage.borrow().clone();
+        Ok(TrialOutcome {
+            entries: trial.record.entries(),
+            load_started_at: trial.load_started_at.get(),
+            coverage,
+            logs,
+        })
     })
 }
 
-impl Stage {
-    async fn set_up(tasks: Executor, plan: Plan, program: PathBuf) -> io::Result<Stage> {
+impl RunningTrial {
+    async fn set_up(executor: Executor, plan: Plan, program: PathBuf) -> io::Result<RunningTrial> {
         let record = Record::default();
         let mut exchanges = Vec::new();
         for ix in 0..plan.exchanges {
-            let number = FIRST_NUMBER + ix as i64;
-            exchanges.push(Exchange::start(&tasks, &record, &format!("s{ix}"), number, plan.proxies)?);
+            let number = FIRST_EXCHANGE_NUMBER + ix as i64;
+            exchanges.push(Exchange::start(&executor, &record, &format!("s{ix}"), number, plan.proxies)?);
         }
         let (mut discoveries, mut proxies) = (Vec::new(), Vec::new());
         for proxy in 0..plan.proxies {
-            let whole: Vec<RosterEntry> =
-                exchanges.iter().map(|e| line(e, proxy, Lifecycle::Ready, 0)).collect();
-            let discovery = Discovery::start(&tasks, &record, proxy, &whole)?;
-            let mut setup = ProxyConfig::new(&format!("n{proxy}"), proxy as i64, plan.proxies);
-            setup.give_up = plan.give_up;
-            setup.limits = (plan.memory_mb, plan.descriptors);
-            proxies.push(ProxySlot::start(&program, setup, &discovery, proxy, &record)?);
+            let full_roster: Vec<RosterEntry> =
+                exchanges.iter().map(|e| roster_entry(e, proxy, Lifecycle::Ready, 0)).collect();
+            let discovery = Discovery::start(&executor, &record, proxy, &full_roster)?;
+            let mut config = ProxyConfig::new(&format!("n{proxy}"), proxy as i64, plan.proxies);
+            config.give_up = plan.give_up;
+            config.limits = (plan.memory_mb, plan.descriptors);
+            proxies.push(SupervisedProxy::start(&program, config, &discovery, proxy, &record)?);
             discoveries.push(discovery);
         }
-        let pools = (0..plan.proxies).map(|_| Pool::new(plan.callers)).collect();
-        Ok(Stage {
-            tasks,
+        let pools = (0..plan.proxies).map(|_| CallerPool::new(plan.callers)).collect();
+        Ok(RunningTrial {
+            executor,
             record,
             plan,
             exchanges: RefCell::new(exchanges),
-            taken: RefCell::default(),
-            next_name: Cell::new(0),
+            changing_exchanges: RefCell::default(),
+            next_id: Cell::new(0),
             discoveries,
             proxies,
             pools,
             coverage: RefCell::default(),
-            began: Cell::new(0.0),
-            over: Cell::new(false),
+            load_started_at: Cell::new(0.0),
+            finished: Cell::new(false),
         })
     }
 
     async fn play(self: Rc<Self>) {
-        for slot in &self.proxies {
-            slot.wait_until_ready(READY_WITHIN).await;
+        for supervised in &self.proxies {
+            supervised.wait_until_ready(READY_TIMEOUT_S).await;
         }
-        self.began.set(now());
+        self.load_started_at.set(now());
         self.clone().watch();
         for call in self.plan.calls.clone() {
-            let stage = self.clone();
+            let trial = self.clone();
             let call_task = async move {
-                stage.sleep_until(call.at).await;
-                stage.play_call(call).await;
+                trial.sleep_until(call.at).await;
+                trial.play_call(call).await;
             };
-            self.tasks.spawn(call_task).detach();
+            self.executor.spawn(call_task).detach();
         }
         for fault in self.plan.faults.clone() {
-            let stage = self.clone();
+            let trial = self.clone();
             let fault_task = async move {
-                stage.sleep_until(fault.at).await;
-                stage.play_fault(fault).await;
+                trial.sleep_until(fault.at).await;
+                trial.play_fault(fault).await;
             };
-            self.tasks.spawn(fault_task).detach();
+            self.executor.spawn(fault_task).detach();
         }
-        self.sleep_until(self.plan.seconds + AFTER_LOAD).await;
-        self.over.set(true);
-        self.pools.iter().for_each(Pool::close_all);
-        self.proxies.iter().for_each(ProxySlot::end);
+        self.sleep_until(self.plan.seconds + DRAIN_TIME_S).await;
+        self.finished.set(true);
+        self.pools.iter().for_each(CallerPool::close_all);
+        self.proxies.iter().for_each(SupervisedProxy::end);
     }
 
     async fn sleep_until(&self, at: f64) {
-        sleep(self.began.get() + at - now()).await;
+        sleep(self.load_started_at.get() + at - now()).await;
     }
 
     /// Tells all proxies' discoveries of changes.
-    fn publish(&self, lines: &[(Exchange, Lifecycle, u64)]) {
+    fn publish(&self, entries: &[(Exchange, Lifecycle, u64)]) {
         for (proxy, discovery) in self.discoveries.iter().enumerate() {
-            let listed: Vec<RosterEntry> =
-                lines.iter().map(|(exchange, cycle, at)| line(exchange, proxy, *cycle, *at)).collect();
-            discovery.publish(false, &listed);
+            let roster_entries: Vec<RosterEntry> = entries
+                .iter()
+                .map(|(exchange, lifecycle, at)| roster_entry(exchange, proxy, *lifecycle, *at))
+                .collect();
+            discovery.publish(false, &roster_entries);
         }
     }
 }
 
-fn line(exchange: &Exchange, proxy: usize, lifecycle: Lifecycle, started_at_ms: u64) -> RosterEntry {
+fn roster_entry(exchange: &Exchange, proxy: usize, lifecycle: Lifecycle, started_at_ms: u64) -> RosterEntry {
     RosterEntry {
         id: exchange.name().to_owned(),
         number: exchange.number(),
--- a/crates/soak/src/trial/proxies.rs
+++ b/crates/soak/src/trial/proxies.rs
@@ -12,47 +12,47 @@
 use rustix::process::Signal;
 
 /// Between two looks at a process.
-const LOOK: f64 = 0.01;
+const POLL_INTERVAL_S: f64 = 0.01;
 
 /// What a proxy's process does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Life {
+pub enum ProcessState {
     /// It runs.
     Running,
     /// It was told to end at this time.
-    Ending(f64),
+    Terminating(f64),
     /// It has ended, or does not pass a test yet.
-    Away,
+    NotReady,
 }
 
 /// One proxy, through all its processes.
-pub struct ProxySlot {
+pub struct SupervisedProxy {
     index: usize,
     program: PathBuf,
     record: Record,
     proxy: RefCell<Proxy>,
-    life: Cell<Life>,
+    process_state: Cell<ProcessState>,
     /// The logs of processes that have ended.
     logs: RefCell<String>,
 }
 
-impl ProxySlot {
+impl SupervisedProxy {
     /// Starts the first process.
     pub fn start(
         program: &Path,
-        setup: ProxyConfig,
+        config: ProxyConfig,
         discovery: &Discovery,
         index: usize,
         record: &Record,
-    ) -> io::Result<ProxySlot> {
+    ) -> io::Result<SupervisedProxy> {
         record.add("trial", index, "", Observation::ProxyStarted);
-        let proxy = RefCell::new(Proxy::start(program, &setup, discovery)?);
+        let proxy = RefCell::new(Proxy::start(program, &config, discovery)?);
         let (program, record) = (program.to_owned(), record.clone());
-        let (life, logs) = (Cell::new(Life::Away), RefCell::default());
-        Ok(ProxySlot { index, program, record, proxy, life, logs })
+        let (process_state, logs) = (Cell::new(ProcessState::NotReady), RefCell::default());
+        Ok(SupervisedProxy { index, program, record, proxy, process_state, logs })
     }
 
-    fn note(&self, observation: Observation) {
+    fn record_event(&self, observation: Observation) {
         self.record.add("trial", self.index, "", observation);
     }
 
@@ -62,8 +62,8 @@
     }
 
     /// What its process does.
-    pub fn life(&self) -> Life {
-        self.life.get()
+    pub fn process_state(&self) -> ProcessState {
+        self.process_state.get()
     }
 
     /// All that it has logged.
@@ -88,68 +88,68 @@
         let (until, listen) = (now() + seconds, self.listen());
         while now() < until {
             if Proxy::answers_options(listen).await.unwrap_or(false) {
-                self.note(Observation::ProxyReady);
-                return self.life.set(Life::Running);
+                self.record_event(Observation::ProxyReady);
+                return self.process_state.set(ProcessState::Running);
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL_S).await;
         }
     }
 
     /// Notes an end that nobody asked for.
-    pub fn look(&self) {
-        if self.life.get() == Life::Running {
+    pub fn detect_exit(&self) {
+        if self.process_state.get() == ProcessState::Running {
             if let Some(clean) = self.proxy.borrow_mut().try_exit_success() {
-                self.note(Observation::ProxyEnded { clean });
-                self.life.set(Life::Away);
+                self.record_event(Observation::ProxyEnded { clean });
+                self.process_state.set(ProcessState::NotReady);
             }
         }
     }
 
     /// SIGTERM, and SIGKILL at a time if it still runs; then another process.
     pub async fn terminate(&self, kill_after: f64, discovery: &Discovery) {
-        if self.life.get() != Life::Running {
+        if self.process_state.get() != ProcessState::Running {
             return;
         }
-        let told = now();
-        self.life.set(Life::Ending(told));
-        self.note(Observation::Terminated);
+        let terminated_at = now();
+        self.process_state.set(ProcessState::Terminating(terminated_at));
+        self.record_event(Observation::Terminated);
         self.proxy.borrow().signal(Signal::TERM);
         loop {
             if let Some(clean) = self.proxy.borrow_mut().try_exit_success() {
-                self.note(Observation::ProxyEnded { clean });
+                self.record_event(Observation::ProxyEnded { clean });
                 break;
             }
-            if now() - told >= kill_after {
+            if now() - terminated_at >= kill_after {
                 self.kill_now().await;
                 break;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL_S).await;
         }
         self.restart(discovery).await;
     }
 
     /// SIGKILL without a word; then another process.
     pub async fn kill(&self, discovery: &Discovery) {
-        if self.life.get() == Life::Running {
+        if self.process_state.get() == ProcessState::Running {
             self.kill_now().await;
             self.restart(discovery).await;
         }
     }
 
     async fn kill_now(&self) {
-        self.note(Observation::Killed);
-        self.life.set(Life::Away);
+        self.record_event(Observation::Killed);
+        self.process_state.set(ProcessState::NotReady);
         self.proxy.borrow().signal(Signal::KILL);
         while self.proxy.borrow_mut().try_exit_success().is_none() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL_S).await;
         }
     }
 
     async fn restart(&self, discovery: &Discovery) {
-        self.life.set(Life::Away);
+        self.process_state.set(ProcessState::NotReady);
         let log = self.proxy.borrow().log();
         self.logs.borrow_mut().push_str(&log);
-        self.note(Observation::ProxyStarted);
+        self.record_event(Observation::ProxyStarted);
         let started = self.proxy.borrow_mut().restart(&self.program, discovery);
         if started.is_ok() {
             self.wait_until_ready(20.0).await;
@@ -157,15 +157,15 @@
     }
 
     /// A bad configuration and a good one, read one after the other.
-    pub async fn configure(&self, discovery: &Discovery) {
+    pub async fn reconfigure(&self, discovery: &Discovery) {
         let written = self.proxy.borrow().write_invalid_config();
-        if written.is_ok() && self.life.get() == Life::Running {
+        if written.is_ok() && self.process_state.get() == ProcessState::Running {
             self.proxy.borrow().signal(Signal::HUP);
         }
         sleep(0.05).await;
         for _ in 0..2 {
             let written = self.proxy.borrow().write_config(discovery);
-            if written.is_ok() && self.life.get() == Life::Running {
+            if written.is_ok() && self.process_state.get() == ProcessState::Running {
                 self.proxy.borrow().signal(Signal::HUP);
             }
             sleep(0.02).await;
@@ -174,7 +174,7 @@
 
     /// The trial is over.
     pub fn end(&self) {
-        self.life.set(Life::Away);
+        self.process_state.set(ProcessState::NotReady);
         self.proxy.borrow().signal(Signal::KILL);
     }
 }
--- a/crates/soak/src/trial/watch.rs
+++ b/crates/soak/src/trial/watch.rs
@@ -5,50 +5,55 @@
 use mallowring_standin::record::{now, Observation};
 use mallowring_standin::sleep;
 
-use super::Stage;
+use super::RunningTrial;
 use crate::judge::view::STALL_THRESHOLD_S;
 
 /// Between two looks at the time.
-const TICK: f64 = 0.01;
+const CHECK_INTERVAL_S: f64 = 0.01;
 /// Looks between two samples of the proxies.
-const SAMPLE: u64 = 20;
+const CHECKS_PER_SAMPLE: u64 = 20;
 
-impl Stage {
+impl RunningTrial {
     pub(super) fn watch(self: Rc<Self>) {
-        let stage = self.clone();
-        let watching = async move {
-            let mut looks = 0;
-            let mut delays: Vec<u64> = vec![0; stage.proxies.len()];
-            while !stage.over.get() {
-                let before = now();
-                sleep(TICK).await;
-                let late = now() - before - TICK;
-                if late > STALL_THRESHOLD_S {
-                    stage.record.add("trial", 0, "", Observation::HeldUp(late));
+        let trial = self.clone();
+        let watch_loop = async move {
+            let mut checks = 0;
+            let mut run_delays_ns: Vec<u64> = vec![0; trial.proxies.len()];
+            while !trial.finished.get() {
+                let check_started_at = now();
+                sleep(CHECK_INTERVAL_S).await;
+                let delay_s = now() - check_started_at - CHECK_INTERVAL_S;
+                if delay_s > STALL_THRESHOLD_S {
+                    trial.record.add("trial", 0, "", Observation::HeldUp(delay_s));
                 }
-                looks += 1;
-                if looks % SAMPLE == 0 {
-                    stage.sample(&mut delays);
+                checks += 1;
+                if checks % CHECKS_PER_SAMPLE == 0 {
+                    trial.sample(&mut run_delays_ns);
                 }
             }
         };
-        self.tasks.spawn(watching).detach();
+        self.executor.spawn(watch_loop).detach();
     }
 
-    fn sample(&self, delays: &mut [u64]) {
+    fn sample(&self, run_delays_ns: &mut [u64]) {
         self.pools.iter().for_each(|pool| pool.close_idle());
-        for (proxy, slot) in self.proxies.iter().enumerate() {
-            slot.look();
-            if let Some((memory_kb, descriptors)) = slot.resources() {
+        for (proxy, supervised) in self.proxies.iter().enumerate() {
+            supervised.detect_exit();
+            if let Some((memory_kb, descriptors)) = supervised.resources() {
                 self.record.add("trial", proxy, "", Observation::Resources { memory_kb, descriptors });
             }
             // A proxy that waited for a processor is no slower than its machine.
-            let delay = slot.scheduling_delay_ns();
-            let waited = delay.saturating_sub(delays[proxy]) as f64 / 1e9;
-            if delays[proxy] > 0 && waited > STALL_THRESHOLD_S {
-                self.record.add("trial", proxy, "", Observation::HeldUp(TICK * SAMPLE as f64));
+            let run_delay_ns = supervised.scheduling_delay_ns();
+            let waited_s = run_delay_ns.saturating_sub(run_delays_ns[proxy]) as f64 / 1e9;
+            if run_delays_ns[proxy] > 0 && waited_s > STALL_THRESHOLD_S {
+                self.record.add(
+                    "trial",
+                    proxy,
+                    "",
+                    Observation::HeldUp(CHECK_INTERVAL_S * CHECKS_PER_SAMPLE as f64),
+                );
             }
-            delays[proxy] = delay;
+            run_delays_ns[proxy] = run_delay_ns;
         }
     }
 }
