--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the soak.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -17,11 +17,11 @@
 use crate::report::{self, Summary};
 use crate::trial::{self, TrialOutcome};
 
-/// A rule was broken.
+/// Exit code: a rule was broken, or too few calls were judged.
 const EXIT_RULE_BROKEN: u8 = 1;
-/// An option was bad, or the trial could not be played.
+/// Exit code: an option was invalid, or a trial could not be played.
 const EXIT_ERROR: u8 = 2;
-/// Ended by Ctrl-C.
+/// Exit code: interrupted by Ctrl-C or SIGTERM.
 const EXIT_INTERRUPTED: i32 = 130;
 
 #[derive(Parser)]
@@ -36,55 +36,55 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play the trials of some seeds.
+    /// Play the trials of a range of seeds
     Run {
-        /// Seeds, as 1..50: from the first to the last, both of them too.
+        /// Range of seeds, both ends included, such as 1..50
         #[arg(long, value_parser = parse_seed_range, required_unless_present = "kept")]
         seeds: Option<(u64, u64)>,
-        /// A file of kept trials, one line each: SEED FAULT,... WHY. They are played before the seeds.
+        /// File of kept trials, one per line: SEED FAULT,... REASON; they are played before the seeds
         #[arg(long)]
         kept: Option<PathBuf>,
-        /// Trials at a time.
+        /// Number of trials played at the same time
         #[arg(long, default_value_t = 1)]
         jobs: usize,
-        /// Print the result as JSON.
+        /// Print the result as JSON
         #[arg(long)]
         json: bool,
         #[command(flatten)]
         common: Common,
     },
-    /// Play one trial, with its schedule.
+    /// Play one trial and print its schedule
     Replay {
-        /// The seed.
+        /// Seed of the trial
         seed: u64,
         #[command(flatten)]
         common: Common,
     },
-    /// Play one trial and print the life of one call.
+    /// Play one trial and print the timeline of one call
     Explain {
-        /// The seed.
+        /// Seed of the trial
         seed: u64,
-        /// The call's id.
+        /// Call-ID of the call
         call: String,
         #[command(flatten)]
         common: Common,
     },
-    /// Name the faults and the rules.
+    /// List the faults and the rules
     ListFaults,
 }
 
 #[derive(Args, Clone)]
 struct Common {
-    /// The program under trial.
+    /// Program under test
     #[arg(long, default_value = "target/release/mallowring")]
     program: PathBuf,
-    /// Only these faults, by name, with commas between.
+    /// Play only these faults, given by name and separated by commas
     #[arg(long, value_delimiter = ',')]
     only: Vec<FaultKind>,
-    /// The most seconds of load.
+    /// Upper bound on the duration of the load, in seconds
     #[arg(long)]
     seconds: Option<f64>,
-    /// Where the logs of trials with a broken rule go.
+    /// Directory for the logs of trials with a broken rule
     #[arg(long, default_value = "target/soak")]
     logs: PathBuf,
 }
@@ -108,13 +108,13 @@
     Ok(range)
 }
 
-/// Runs the program.
+/// Parses the command line and runs the command.
 pub fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
         Err(error) => {
             let code = if error.use_stderr() { ExitCode::from(EXIT_ERROR) } else { ExitCode::SUCCESS };
-            // A closed output changes nothing.
+            // A closed output stream is ignored.
             let _ = error.print();
             return code;
         }
@@ -141,7 +141,7 @@
     }
 }
 
-/// Ctrl-C leaves no process behind.
+/// Kills all proxies when the program is interrupted, so that no process is left behind.
 fn kill_proxies_on_interrupt() {
     std::thread::spawn(|| {
         let waiting = async {
@@ -166,7 +166,7 @@
     seeds.map_or(Vec::new(), |(first, last)| (first..=last).map(trial).collect())
 }
 
-/// Reads a file of kept trials; what is wrong with it is named by its line.
+/// Reads a file of kept trials; an error names the line.
 fn read_kept(path: &Path) -> Result<Vec<TrialSpec>, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let mut trials = Vec::new();
--- a/crates/soak/src/coverage.rs
+++ b/crates/soak/src/coverage.rs
@@ -1,4 +1,4 @@
-//! How often each fault met each state of calls, and how often two faults overlapped.
+//! Counts in which call states each fault occurred, and how often faults overlapped.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,28 @@
 
 use crate::fault::FaultKind;
 
-/// What calls a fault met.
+/// State of the affected calls when a fault starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum CallState {
-    /// None.
+    /// No call.
     NoCall,
-    /// A set-up was out.
+    /// A set-up was pending.
     #[serde(rename = "SetUpOut")]
     SetUpPending,
-    /// A call stood.
+    /// A call was established.
     #[serde(rename = "Standing")]
     Established,
-    /// A call was just released.
+    /// A call had just been released.
     InRelease,
 }
 
 impl CallState {
-    /// All states.
+    /// All states, in the order of the report.
     pub const ALL: [CallState; 4] =
         [CallState::NoCall, CallState::SetUpPending, CallState::Established, CallState::InRelease];
 }
 
-/// Counts over one trial or many.
+/// Fault counts of one trial or of many.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Coverage {
     #[serde(rename = "met")]
@@ -39,7 +39,7 @@
 }
 
 impl Coverage {
-    /// A fault begins and lasts until a time.
+    /// Records that a fault starts now and lasts until the Unix time `until`.
     pub fn record_start(&mut self, kind: FaultKind, until: f64) {
         let at = now();
         self.active.retain(|(_, until)| *until > at);
@@ -49,12 +49,12 @@
         self.active.push((kind, until));
     }
 
-    /// A fault met a state.
+    /// Records that a fault occurred in a call state.
     pub fn record_state(&mut self, kind: FaultKind, state: CallState) {
         *self.states_by_fault.entry(kind).or_default().entry(state).or_insert(0) += 1;
     }
 
-    /// Adds another trial's counts.
+    /// Adds the counts of another trial.
     pub fn add(&mut self, other: &Coverage) {
         for (kind, states) in &other.states_by_fault {
             for (state, n) in states {
@@ -66,12 +66,12 @@
         }
     }
 
-    /// How often a fault met a state.
+    /// Returns how often a fault occurred in a call state.
     pub fn count(&self, kind: FaultKind, state: CallState) -> u64 {
         self.states_by_fault.get(&kind).and_then(|states| states.get(&state)).copied().unwrap_or(0)
     }
 
-    /// How often a fault began while another one was under way.
+    /// Returns how often a fault started while another fault was active.
     pub fn overlaps(&self, kind: FaultKind) -> u64 {
         self.overlaps.get(&kind).copied().unwrap_or(0)
     }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,69 +1,69 @@
-//! The faults that a trial may hold.
+//! The faults that a trial can contain.
 
 use std::str::FromStr;
 
 use serde::Serialize;
 
-/// A kind of fault, by its name on the command line.
+/// Kind of a fault. On the command line and in JSON it has its kebab-case name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// An exchange vanishes with its calls; later discovery says that it is gone, and another one takes its number.
+    /// An exchange vanishes with its calls; later discovery removes it, and a new exchange takes its number.
     Vanish,
-    /// An exchange is cut off for a while and comes back with its calls.
+    /// An exchange is cut off from the network and comes back with its calls.
     CutOff,
-    /// An exchange hangs for a while; connections to it come up.
+    /// The process of an exchange hangs; connections to it are still accepted.
     Hang,
-    /// An exchange dies: resets, then refusals; later another process is there.
+    /// An exchange crashes: its connections are reset, then refused; later another process starts at its address.
     Die,
-    /// An exchange dies and another process is there at once.
+    /// An exchange crashes and another process runs at its address at once.
     RestartAtOnce,
-    /// An exchange vanishes and another process takes its address before discovery tells.
+    /// An exchange vanishes and another process takes its address before discovery reports it.
     ReplaceAtAddress,
     /// An exchange drains, stops and is replaced by a cold one.
     Drain,
-    /// Answers come late.
+    /// An exchange answers late.
     AnswersLate,
-    /// Answers come twice.
+    /// An exchange sends every answer twice.
     AnswersTwice,
-    /// Answers can't be read.
+    /// An exchange sends answers that cannot be parsed.
     AnswersSpoilt,
-    /// What an exchange says comes in pieces.
+    /// An exchange writes its messages in fragments.
     Pieces,
-    /// Connections to an exchange are served late.
+    /// An exchange serves new connections late.
     AcceptsLate,
-    /// Releases come on another connection.
+    /// An exchange sends releases on another connection than that of the set-up.
     ReleasesElsewhere,
     /// One connection to an exchange is reset.
     Reset,
-    /// One connection to an exchange is closed early.
+    /// One connection to an exchange is closed.
     Close,
-    /// One connection to an exchange falls silent.
+    /// One connection to an exchange turns silent.
     SilentConnection,
     /// Discovery is down.
     DiscoveryDown,
-    /// Discovery takes connections and says nothing.
+    /// Discovery accepts connections but sends nothing.
     DiscoverySilent,
-    /// Discovery moves, by new configurations in quick succession, one of them bad.
+    /// Discovery changes its address; the proxies get new configurations in quick succession, one of them invalid.
     DiscoveryMoves,
-    /// A proxy gets SIGTERM, and SIGKILL at the earliest moment.
+    /// A proxy gets SIGTERM, and SIGKILL at the earliest allowed moment.
     Terminate,
     /// A proxy gets SIGKILL.
     Kill,
-    /// Callers give up early and ask again at once.
+    /// Callers give up early and repeat the call at once.
     GiveUpEarly,
-    /// Callers close their connections and come back.
+    /// Callers close their connections and reconnect.
     CallersReturn,
-    /// Callers write in pieces.
+    /// Callers write their set-ups in fragments.
     SlowWriters,
-    /// Callers send what makes no sense, and ids twice.
+    /// Callers send malformed requests and duplicate Call-IDs.
     BadCallers,
-    /// A crowd that finishes no request.
+    /// Many connections are opened that never complete a request.
     Crowd,
 }
 
 impl FaultKind {
-    /// All kinds.
+    /// All kinds, in the order in which plans draw from them.
     pub const ALL: [FaultKind; 26] = [
         FaultKind::Vanish,
         FaultKind::CutOff,
@@ -93,7 +93,7 @@
         FaultKind::Crowd,
     ];
 
-    /// Its name.
+    /// Returns the name of the kind on the command line.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::Vanish => "vanish",
@@ -125,7 +125,7 @@
         }
     }
 
-    /// What it hits.
+    /// Returns what the fault affects.
     pub fn target(self) -> Target {
         match self {
             FaultKind::DiscoveryDown | FaultKind::DiscoverySilent | FaultKind::DiscoveryMoves => {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// How long it may last, in seconds, from the shortest to the longest.
+    /// Returns the shortest and the longest duration, in seconds.
     pub fn duration_range_s(self) -> (f64, f64) {
         match self {
             FaultKind::Vanish => (4.0, 14.0),
@@ -163,14 +163,14 @@
     }
 }
 
-/// What a fault hits.
+/// What a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// One exchange.
     Exchange,
-    /// One proxy, or its callers.
+    /// One proxy or its callers.
     Proxy,
-    /// Discovery, for all proxies.
+    /// The discovery services of all proxies.
     Discovery,
 }
 
--- a/crates/soak/src/judge/calls.rs
+++ b/crates/soak/src/judge/calls.rs
@@ -1,22 +1,22 @@
-//! The rules on one call.
+//! Rules on single calls.
 
 use mallowring_standin::record::Observation;
 
 use super::view::{Attempt, CallHistory, TrialContext, CLOSE_CROSSING_S};
 use super::*;
 
-/// A final answer that comes so late only earns nothing; later it is lost.
+/// Time in seconds after the deadline within which a final answer earns nothing but is no breach.
 const LATE_ANSWER_GRACE_S: f64 = 0.5;
-/// From a release by the exchange to the release to the caller.
+/// Time limit in seconds from the release by the exchange to the release to the caller.
 const RELEASE_LIMIT_S: f64 = 1.0;
-/// From the end of a call to the release to its caller.
+/// Time limit in seconds from the end of a call to the release to its caller if the exchange could send no release.
 const RELEASE_WITHOUT_SIGNAL_LIMIT_S: f64 = 8.0;
 
 fn breach(rule: Rule, call: &CallHistory, at: f64, details: String) -> Option<Breach> {
     Some(Breach { rule, at, proxy: call.proxy, call: call.id.to_owned(), details })
 }
 
-/// All breaches of one call.
+/// Returns all breaches of one call.
 pub fn check(call: &CallHistory, context: &TrialContext, parameters: &DeploymentParameters) -> Vec<Breach> {
     let mut breaches: Vec<Breach> = Vec::new();
     breaches.extend(answer(call, context));
@@ -97,7 +97,7 @@
 fn one_attempt(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
     for (ix, first) in call.attempts.iter().enumerate() {
         for second in &call.attempts[ix + 1..] {
-            // One that a silent exchange reads late was given up before.
+            // A set-up that a silent exchange reads late had been cancelled before.
             let late = [first, second]
                 .into_iter()
                 .any(|a| context.was_silent(&a.exchange, call.requested, second.at));
@@ -161,8 +161,8 @@
     breach(DRAIN, call, attempt.at, details)
 }
 
-/// Whether the caller of a call that stood had to be told by a time: it was there to be told and has not ended the call
-/// itself, and the proxy ran.
+/// Returns whether a release to the caller was due at a given time: the call was established, a caller connection was
+/// open, the caller had not hung up, and the proxy was running.
 fn is_release_due(call: &CallHistory, context: &TrialContext, from: f64, due_at: f64) -> bool {
     let established = call.answer().is_some_and(|(at, status, _)| status == 200 && at <= from);
     let hung_up =
--- a/crates/soak/src/judge/fleet.rs
+++ b/crates/soak/src/judge/fleet.rs
@@ -1,16 +1,16 @@
-//! The rules on proxies and exchanges.
+//! Rules on proxies and exchanges.
 
 use mallowring_standin::record::{Entry, Observation};
 
 use super::view::TrialContext;
 use super::*;
 
-/// A proxy that starts passes a test within so long.
+/// Time in seconds within which a started proxy has to answer an OPTIONS request.
 const READY_LIMIT_S: f64 = 10.0;
-/// Of the set-ups that push an exchange over, more than this share came from proxies that had been told of its start.
+/// A breach needs more than this share of the set-ups to come from proxies that had been informed of the start.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// All breaches that are of no single call.
+/// Returns all breaches that concern no single call.
 pub fn check(entries: &[Entry], context: &TrialContext, parameters: &DeploymentParameters) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for (ix, entry) in entries.iter().enumerate() {
@@ -73,8 +73,8 @@
     None
 }
 
-/// How many set-ups a cold exchange bears within the span that the settings name, which ends so many seconds after its
-/// start (STANDING, 'The whole fleet').
+/// Returns how many set-ups a cold exchange bears in a window of `overload_window_s` that ends `age` seconds after
+/// its start, with an allowance for random arrivals (STANDING, 'The whole fleet').
 fn max_set_ups(age: f64, parameters: &DeploymentParameters) -> f64 {
     let warm = (age / parameters.warm_up_s).clamp(0.0, 1.0);
     let share = parameters.cold_capacity_share + (1.0 - parameters.cold_capacity_share) * warm;
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -1,6 +1,7 @@
-//! The judge: every rule of the platform's pages as one named check over the record of a trial. No I/O.
+//! Checks the record of a trial against the platform's rules, one named check per rule. Performs no I/O.
 //!
-//! Each rule stands in [`RULES`] with its figure and its source. What the pages excuse is excused in [`view`] alone.
+//! [`RULES`] lists the rules with their sources. PROTOCOL, WIRE, STANDING and DEPLOY are pages of the platform's
+//! documentation. Exemptions from the rules are evaluated in [`view`] alone.
 
 mod calls;
 mod fleet;
@@ -12,85 +13,86 @@
 use serde::Serialize;
 use view::{CallHistory, TrialContext};
 
-/// Every time limit of the rules is so much longer (PROTOCOL, 'The rules on sockets').
+/// Tolerance in seconds that is added to every time limit (PROTOCOL, 'The rules on sockets').
 pub const TOLERANCE_S: f64 = 0.05;
 
-/// The figures of the deployment under trial.
+/// Parameters of the deployment under test.
 #[derive(Clone, Debug)]
 pub struct DeploymentParameters {
-    /// Grace for set-ups to an exchange that drains or is gone, in seconds.
+    /// Time in seconds in which set-ups may still go to an exchange that is draining or gone.
     pub drain_grace_s: f64,
-    /// The pause before a call is sent again after a time-out, reset or cancel, in seconds.
+    /// Pause in seconds before a call is sent again after a time-out, reset or cancel.
     pub release_pause_s: f64,
-    /// The most attempts of one call.
+    /// Largest number of attempts per call.
     pub max_attempts: usize,
-    /// Limits of each proxy: memory in kB, and descriptors.
+    /// Memory limit of each proxy, in kB.
     pub memory_kb: u64,
-    /// The most descriptors of a proxy.
+    /// File descriptor limit of each proxy.
     pub descriptors: usize,
-    /// Set-ups a second that a warm exchange can do.
+    /// Capacity of a warm exchange, in set-ups per second.
     pub exchange_rate: f64,
-    /// A cold exchange begins at this share of it ...
+    /// Capacity of a cold exchange at its start, as a share of its warm capacity.
     pub cold_capacity_share: f64,
-    /// ... and is warm after so many seconds.
+    /// Time in seconds until a cold exchange is warm.
     pub warm_up_s: f64,
-    /// Sent more than this multiple of what it can do ...
+    /// An exchange fails under more than this multiple of its capacity ...
     pub overload_multiple: f64,
-    /// ... for so many seconds, it falls over.
+    /// ... over a window of this many seconds.
     pub overload_window_s: f64,
 }
 
-/// A rule and where it is written.
+/// A rule and its source.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rule {
-    /// Its name.
+    /// Name of the rule.
     pub name: &'static str,
-    /// The page and the part of it.
+    /// Page of the platform's documentation, and the section.
     pub source: &'static str,
 }
 
-/// A call gets its final answer before its caller gives up; half a second later it only earns nothing.
+/// A call gets its final answer before its caller gives up; an answer up to half a second late earns nothing but is
+/// no breach.
 pub const ANSWER: Rule =
     Rule { name: "answer", source: "STANDING, 'The whole fleet': a request has to get its final answer" };
-/// No call gets two final answers.
+/// A call gets at most one final answer.
 pub const SECOND_ANSWER: Rule = Rule { name: "second answer", source: "PROTOCOL, 'The rules on sockets'" };
-/// An answer 'served' is the one that an exchange gave for this call, unchanged.
+/// A successful answer is the unchanged answer of an exchange to this call.
 pub const DESCRIPTION: Rule =
     Rule { name: "description", source: "PROTOCOL, 'Callers to signalling proxies'" };
-/// One attempt is out at a time.
+/// Only one attempt of a call is pending at a time.
 pub const ONE_ATTEMPT: Rule =
     Rule { name: "one attempt out", source: "WIRE, 'Rules', 2; PROTOCOL, 'The rules on sockets'" };
-/// So many attempts at the most.
+/// A call has at most [`DeploymentParameters::max_attempts`] attempts.
 pub const ATTEMPTS: Rule = Rule { name: "attempts", source: "WIRE, limits.max_attempts" };
-/// No send within the pause after a time-out, reset or cancel.
+/// No attempt is sent within the pause after a time-out, reset or cancel.
 pub const PAUSE: Rule = Rule { name: "pause", source: "WIRE, 'Rules', 5" };
-/// No send for a call that has its final answer.
+/// No attempt is sent for a call that has its final answer.
 pub const SENT_AFTER_ANSWER: Rule = Rule { name: "sent after the answer", source: "WIRE, 'Rules', 1" };
-/// Nothing new to an exchange that drains or is gone.
+/// No new call goes to an exchange that is draining or gone.
 pub const DRAIN: Rule = Rule {
     name: "drain",
     source: "WIRE, 'Rules', 3; PROTOCOL, 'Figures'; the newest letter: told after 6 s",
 };
-/// A release is passed on within 1 s.
+/// A release by the exchange reaches the caller within 1 s.
 pub const RELEASE: Rule = Rule { name: "release within 1 s", source: "PROTOCOL, 'The rules on sockets'" };
-/// Where no release could be sent the caller is told within 8 s of the end.
+/// If the exchange could send no release, the proxy releases the caller within 8 s of the end of the call.
 pub const RELEASE_WITHOUT_SIGNAL: Rule = Rule {
     name: "told within 8 s",
     source: "PROTOCOL, 'The rules on sockets'; issue 16: a silent server excuses nothing",
 };
-/// No cold exchange is pushed over.
+/// A cold exchange does not fail through overload.
 pub const COLD_START: Rule =
     Rule { name: "cold start", source: "WIRE, 'Rules', 4; STANDING, 'The whole fleet'" };
-/// A proxy does not end by itself, but for a SIGTERM, and then with success.
+/// A proxy exits only on SIGTERM, and then with exit code 0.
 pub const CRASH: Rule = Rule { name: "crash", source: "DEPLOY, 'deploy/balancer.toml'; PROTOCOL, 'Figures'" };
-/// A proxy that starts is ready in time.
+/// A started proxy becomes ready in time.
 pub const READY: Rule = Rule { name: "ready in time", source: "STANDING, 'The gate'" };
-/// Memory stays inside the limit.
+/// Memory stays within the limit.
 pub const MEMORY: Rule = Rule { name: "memory", source: "DEPLOY, 'Limits'" };
-/// Descriptors stay inside the limit.
+/// File descriptors stay within the limit.
 pub const DESCRIPTORS: Rule = Rule { name: "descriptors", source: "DEPLOY, 'Limits'" };
 
-/// All rules.
+/// All rules, in the order of the report.
 pub const RULES: [Rule; 15] = [
     ANSWER,
     SECOND_ANSWER,
@@ -112,31 +114,31 @@
 /// One breach of a rule.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Breach {
-    /// The rule.
+    /// The broken rule.
     pub rule: Rule,
-    /// When, in seconds of Unix time.
+    /// Time of the breach, in seconds of Unix time.
     pub at: f64,
-    /// The proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// The call; empty where it is of none.
+    /// Call-ID of the call; empty if the breach concerns no single call.
     pub call: String,
-    /// What was seen.
+    /// What was observed.
     #[serde(rename = "what")]
     pub details: String,
 }
 
-/// What a trial came to.
+/// The verdict on a trial.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Breaches, in the order of time.
+    /// Breaches in chronological order.
     pub breaches: Vec<Breach>,
-    /// Calls that were judged.
+    /// Number of calls judged.
     pub judged: usize,
-    /// Calls that were under way while the trial's own process was held up: nothing is said of them.
+    /// Number of calls not judged, because the trial stalled during the call.
     pub not_judged: usize,
 }
 
-/// Judges the record of a trial.
+/// Checks the record of a trial against all rules.
 pub fn check_rules(entries: &[Entry], parameters: &DeploymentParameters) -> Verdict {
     let context = TrialContext::from_entries(entries);
     let mut calls: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
--- a/crates/soak/src/judge/view.rs
+++ b/crates/soak/src/judge/view.rs
@@ -1,27 +1,31 @@
-//! The record as the rules look at it: one call's entries, and what happened around it. What the pages excuse is here.
+//! Views of the record for the rules: the history of one call, and the conditions around it. All exemptions from the
+//! rules that the platform grants are evaluated here.
 
 use std::collections::BTreeMap;
 
 use mallowring_standin::record::{Entry, Observation};
 
-/// A set-up that crosses the close of its connection by so little is sent again (PROTOCOL, 'Callers to signalling
-/// proxies').
+/// A caller sends a set-up again if its connection is closed within this time in seconds after the send (PROTOCOL,
+/// 'Callers to signalling proxies').
 pub const CLOSE_CROSSING_S: f64 = 0.05;
-/// A set-up that comes so much later than SIGTERM has to be answered before SIGKILL (PROTOCOL, 'Figures').
+/// Time in seconds after SIGTERM up to which a set-up may remain unanswered at SIGKILL; a later one has to be
+/// answered before SIGKILL (PROTOCOL, 'Figures').
 pub const ANSWER_DUE_AFTER_TERM_S: f64 = 0.7;
-/// Whatever discovery has to tell counts as told after so long (PROTOCOL, 'Figures').
+/// Time in seconds after which a proxy is considered informed of a roster change, even if it has not received it
+/// (PROTOCOL, 'Figures').
 const ROSTER_DELIVERY_LIMIT_S: f64 = 7.0;
-/// After a failed call to discovery: from the moment at which it had the change and could be reached (the newest letter).
+/// The same limit after an outage of discovery, in seconds: counted from the moment at which discovery has the change
+/// and is reachable again. The platform granted it in a notice that is newer than the page.
 const ROSTER_DELIVERY_AFTER_OUTAGE_S: f64 = 6.0;
-/// The trial was held up by more than this: what was under way is not judged.
+/// Stalls of the trial longer than this, in seconds, exclude the calls in progress from the judgement.
 pub const STALL_THRESHOLD_S: f64 = 0.05;
 
-/// A span of time.
+/// A span of time, in seconds of Unix time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span {
-    /// Its begin.
+    /// Start of the span.
     pub from: f64,
-    /// Its end.
+    /// End of the span.
     pub to: f64,
 }
 
@@ -31,38 +35,38 @@
     }
 }
 
-/// One attempt as its exchange saw it.
+/// One attempt as observed by its exchange.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The exchange.
+    /// Name of the exchange.
     pub exchange: String,
-    /// When it was there whole.
+    /// Time at which the exchange had read the complete set-up.
     pub at: f64,
-    /// When its end was written or it was given up.
+    /// Time at which the answer was written or the set-up was cancelled.
     pub end: Option<f64>,
-    /// It ended by a cancel or as reset, so that the pause counts from its end.
+    /// Whether the attempt ended by a cancel or a 504, so that a pause has to follow its end.
     pub requires_pause: bool,
 }
 
-/// One call.
+/// The history of one call.
 #[derive(Debug)]
 pub struct CallHistory<'a> {
-    /// Its id.
+    /// The Call-ID.
     pub id: &'a str,
-    /// Its proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// Its entries, oldest first.
+    /// The entries of the call in chronological order.
     pub entries: Vec<&'a Entry>,
-    /// When it was last asked for: one that crossed a close is sent again.
+    /// Time of the last request: a set-up that crossed a close is sent again.
     pub requested: f64,
-    /// How long its caller waits.
+    /// Time the caller waits for a final answer, in seconds.
     pub deadline: f64,
-    /// Its attempts, in their order.
+    /// The attempts in chronological order.
     pub attempts: Vec<Attempt>,
 }
 
 impl<'a> CallHistory<'a> {
-    /// The view of one call; `None` where no caller asked for it.
+    /// Builds the history of one call; `None` if no caller requested it.
     pub fn from_entries(id: &'a str, entries: Vec<&'a Entry>) -> Option<CallHistory<'a>> {
         let is_request = |entry: &&&'a Entry| matches!(entry.observation, Observation::Requested { .. });
         let last = entries.iter().rfind(is_request)?;
@@ -72,12 +76,12 @@
         Some(CallHistory { id, proxy, entries, requested, deadline, attempts })
     }
 
-    /// When something was first seen.
+    /// Returns the time of the first matching observation.
     pub fn first(&self, matches_event: impl Fn(&Observation) -> bool) -> Option<f64> {
         self.entries.iter().find(|entry| matches_event(&entry.observation)).map(|entry| entry.at)
     }
 
-    /// The first final answer: when, with what.
+    /// Returns time, status and body of the first final answer.
     pub fn answer(&self) -> Option<(f64, u16, &str)> {
         self.entries.iter().find_map(|entry| match &entry.observation {
             Observation::Answered { status, description } => Some((entry.at, *status, description.as_str())),
@@ -107,7 +111,7 @@
     attempts
 }
 
-/// What happened around the calls.
+/// Conditions around the calls of a trial.
 #[derive(Debug, Default)]
 pub struct TrialContext {
     silent_spans: BTreeMap<String, Vec<Span>>,
@@ -119,12 +123,12 @@
     started: BTreeMap<usize, Vec<f64>>,
     published_unavailable: BTreeMap<String, f64>,
     sent_unavailable: BTreeMap<(usize, String), f64>,
-    /// When each proxy's discovery began to be reachable, and ceased to be.
+    /// Times at which the discovery of each proxy became reachable (`true`) or unreachable (`false`).
     reachability_changes: BTreeMap<usize, Vec<(f64, bool)>>,
 }
 
 impl TrialContext {
-    /// Reads the record.
+    /// Builds the context from the record of a trial.
     pub fn from_entries(entries: &[Entry]) -> TrialContext {
         let mut context = TrialContext::default();
         let mut connected_since: BTreeMap<(usize, &str), f64> = BTreeMap::new();
@@ -175,32 +179,33 @@
         context
     }
 
-    /// Whether the trial itself was held up while something of the call could have been seen late.
+    /// Returns whether the trial stalled while observations of the call could have been delayed.
     pub fn overlaps_stall(&self, call: &CallHistory) -> bool {
         let times = call.entries.iter().map(|entry| entry.at);
         let last = times.fold(call.requested + call.deadline, f64::max);
         self.stalls.iter().any(|span| span.overlaps(call.requested, last + 1.0))
     }
 
-    /// Whether an exchange was silent at some time of a span.
+    /// Returns whether an exchange was silent at any time within a span.
     pub fn was_silent(&self, exchange: &str, from: f64, to: f64) -> bool {
         self.silent_spans.get(exchange).is_some_and(|spans| spans.iter().any(|span| span.overlaps(from, to)))
     }
 
-    /// Whether a caller was connected to the proxy all through a span of time, on whatever connection.
+    /// Returns whether one caller connection to the proxy was open throughout a span.
     pub fn caller_was_connected(&self, proxy: usize, from: f64, to: f64) -> bool {
         let spans = self.caller_spans.get(&proxy);
         spans.is_some_and(|spans| spans.iter().any(|span| span.from <= from && span.to >= to))
     }
 
-    /// The first time at or after one at which the proxy's process was killed or ended.
+    /// Returns the first time at or after `after` at which the proxy's process was killed or exited.
     pub fn proxy_end_after(&self, proxy: usize, after: f64) -> Option<f64> {
         let ends = [&self.killed, &self.exited].into_iter().filter_map(|of| of.get(&proxy)).flatten();
         ends.copied().filter(|at| *at >= after).reduce(f64::min)
     }
 
-    /// Whether a request that the end of its proxy leaves unanswered is excused: it was killed without a word, or by the
-    /// page's earliest SIGKILL after a request that came within 0.7 s of SIGTERM.
+    /// Returns whether a request that was unanswered at the end of its proxy is exempt: the proxy was killed without
+    /// SIGTERM, or it was killed at the earliest allowed moment after SIGTERM and the request came no later than 0.7
+    /// s after SIGTERM.
     pub fn kill_excuses_missing_answer(&self, proxy: usize, requested: f64, end: f64) -> bool {
         let killed = self.killed.get(&proxy).is_some_and(|times| times.contains(&end));
         let terminated = self.terminated.get(&proxy).into_iter().flatten();
@@ -208,13 +213,13 @@
         killed && latest.is_none_or(|at| requested <= at + ANSWER_DUE_AFTER_TERM_S)
     }
 
-    /// The start of the proxy's process that ran at a time.
+    /// Returns the start time of the proxy's process that ran at a given time.
     pub fn proxy_start_before(&self, proxy: usize, at: f64) -> Option<f64> {
         let starts = self.started.get(&proxy).into_iter().flatten();
         starts.copied().filter(|start| *start <= at).reduce(f64::max)
     }
 
-    /// Whether an end of the proxy's process was asked for.
+    /// Returns whether SIGTERM or SIGKILL had been sent to the proxy's process before its end.
     pub fn was_stop_requested(&self, proxy: usize, end: f64) -> bool {
         let since = self.proxy_start_before(proxy, end).unwrap_or(0.0);
         let stop_requests =
@@ -222,12 +227,12 @@
         stop_requests.copied().any(|at| at >= since && at <= end)
     }
 
-    /// From when on a proxy counts as told that an exchange drains or is gone.
+    /// Returns the time from which a proxy is considered informed that an exchange is draining or gone.
     pub fn considered_informed_at(&self, proxy: usize, exchange: &str) -> Option<f64> {
         let published_unavailable = *self.published_unavailable.get(exchange)?;
         let sent_unavailable = self.sent_unavailable.get(&(proxy, exchange.to_owned())).copied();
         let mut latest = published_unavailable + ROSTER_DELIVERY_LIMIT_S;
-        // While it can be reached all the time the line itself is the telling.
+        // While discovery stays reachable, the roster line that it sends is what informs the proxy.
         let changes = self.reachability_changes.get(&proxy).map_or(&[][..], Vec::as_slice);
         let reachable_again = changes
             .iter()
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,7 +1,8 @@
-//! Short, dense trials of the built proxy among stand-ins that fail, and a judge of every rule.
+//! Short trials of the built proxy under dense load, among stand-ins that simulate faults, and a checker for every
+//! rule.
 //!
-//! A seed draws a whole trial before it starts ([`plan`]), [`trial`] plays it on real processes over loopback, and
-//! [`judge`] holds the record against the rules. [`cli`] is the program.
+//! A seed determines a whole trial before it starts ([`plan`]), [`trial`] plays it with real processes over loopback,
+//! and [`judge`] checks the record against the rules. [`cli`] is the command line.
 
 pub mod cli;
 pub mod coverage;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! A whole trial, drawn from its seed before it starts.
+//! Plans of whole trials, drawn from their seeds.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -6,79 +6,80 @@
 
 use crate::fault::{FaultKind, Target};
 
-/// One call as its caller wants it.
+/// One planned call.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlannedCall {
-    /// Seconds from the start of the load.
+    /// Time of the set-up, in seconds from the start of the load.
     pub at: f64,
-    /// The proxy that is asked, from 0.
+    /// Index of the proxy that the caller is connected to, from 0.
     pub proxy: usize,
-    /// Which of the proxy's callers asks, from 0.
+    /// Index of the caller among the callers of the proxy, from 0.
     pub caller: usize,
-    /// The exchange called, from 0.
+    /// Index of the called exchange, from 0.
     pub exchange: usize,
-    /// Milliseconds until the exchange answers.
+    /// Time until the exchange answers, in milliseconds.
     pub answer_ms: u64,
-    /// Milliseconds for which the call stands.
+    /// Holding time of the call, in milliseconds.
     pub hold_ms: u64,
-    /// How long the caller waits, in milliseconds.
+    /// Time the caller waits for a final answer, in milliseconds.
     pub deadline_ms: u64,
-    /// The caller ends it after so many milliseconds.
+    /// Time after which the caller releases the call, in milliseconds; `None` if it leaves the release to the
+    /// exchange.
     pub hang_up_ms: Option<u64>,
 }
 
-/// One fault.
+/// One planned fault.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlannedFault {
-    /// Seconds from the start of the load.
+    /// Start time, in seconds from the start of the load.
     pub at: f64,
-    /// For so many seconds.
+    /// Duration in seconds.
     #[serde(rename = "lasts")]
     pub duration_s: f64,
-    /// Its kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Which exchange or proxy, from 0; nothing where it hits discovery.
+    /// Index of the exchange or proxy, from 0; unused for faults of discovery.
     pub target: usize,
 }
 
-/// A trial.
+/// The plan of a trial.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Plan {
-    /// Its seed.
+    /// The seed of the trial.
     pub seed: u64,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Exchanges.
+    /// Number of exchanges.
     pub exchanges: usize,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// The longest that a caller waits, in seconds: each class gives up then.
+    /// The longest time a caller waits, in seconds; the callers of each class give up after it.
     pub give_up: f64,
-    /// The limit on descriptors.
+    /// Limit on file descriptors of each proxy.
     pub descriptors: u64,
-    /// The limit on memory, in MB.
+    /// Limit on memory of each proxy, in MB.
     pub memory_mb: u64,
-    /// Set-ups a second that an exchange bears when it is warm.
+    /// Capacity of a warm exchange, in set-ups per second.
     pub exchange_rate: f64,
-    /// Callers of each proxy.
+    /// Number of callers of each proxy.
     pub callers: usize,
-    /// Calls, in the order of time.
+    /// Calls in chronological order.
     pub calls: Vec<PlannedCall>,
-    /// Faults, in the order of time.
+    /// Faults in chronological order.
     pub faults: Vec<PlannedFault>,
 }
 
-/// What narrows a plan.
+/// Restrictions on a plan.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Only faults of these kinds; of all where there is none.
+    /// Kinds of faults to draw from; empty for all.
     pub only: Vec<FaultKind>,
-    /// Seconds of load at the most.
+    /// Upper bound on the duration of the load, in seconds.
     pub max_seconds: Option<f64>,
 }
 
 impl Plan {
-    /// Draws a trial. The same seed and options give the same one.
+    /// Draws a plan. The same seed and options give the same plan.
     pub fn draw(seed: u64, options: &Options) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (proxies, exchanges) = (rng.random_range(2..=6), rng.random_range(3..=12));
@@ -139,7 +140,7 @@
         calls
     }
 
-    /// Bursts of two to four faults that overlap, and some alone.
+    /// Draws bursts of one to four faults that overlap.
     fn draw_faults(&self, rng: &mut Pcg64Mcg, options: &Options) -> Vec<PlannedFault> {
         let kinds: Vec<FaultKind> = match options.only.is_empty() {
             true => FaultKind::ALL.to_vec(),
@@ -148,7 +149,7 @@
         let mut faults = Vec::new();
         let mut burst_start: f64 = rng.random_range(1.0..3.0);
         while burst_start < self.seconds - 1.0 {
-            // Signals come in series.
+            // In a series, every fault after the first of a burst is a SIGTERM.
             let is_signal_series = rng.random_range(0..4) == 0 && kinds.contains(&FaultKind::Terminate);
             let series_kind = if is_signal_series { Some(FaultKind::Terminate) } else { None };
             for n in 0..rng.random_range(1..=4) {
@@ -170,7 +171,8 @@
         faults
     }
 
-    /// The longest deadline, as the platform counts it, and 0.7 s: SIGKILL comes so long after SIGTERM.
+    /// Returns the time between SIGTERM and SIGKILL, in seconds: the longest deadline, which the platform caps at 3
+    /// s, plus 0.7 s.
     pub fn kill_after(&self) -> f64 {
         self.give_up.min(3.0) + 0.7
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What is printed: timelines, breaches with the call's life over all processes, tables.
+//! Text output: schedules, breaches with the timeline of the call over all processes, and summary tables.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,30 +13,30 @@
 use crate::plan::Plan;
 use crate::trial::TrialOutcome;
 
-/// Breaches of one rule that are printed whole.
+/// Number of breaches of one rule that are printed in full.
 const MAX_PRINTED_BREACHES: usize = 3;
-/// Over this share of calls not judged a run has failed.
+/// Largest share of unjudged calls with which a run still passes.
 pub const MAX_NOT_JUDGED_SHARE: f64 = 0.1;
 
-/// The sum over many trials.
+/// Sum of the results of many trials.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// Trials.
+    /// Number of trials.
     pub trials: usize,
-    /// Seeds with a broken rule, with the rules.
+    /// Broken rules by seed.
     pub broken: BTreeMap<u64, Vec<String>>,
-    /// Breaches by rule.
+    /// Number of breaches by rule.
     pub breaches: BTreeMap<String, usize>,
-    /// Calls judged.
+    /// Number of calls judged.
     pub judged: usize,
-    /// Calls not judged.
+    /// Number of calls not judged.
     pub not_judged: usize,
-    /// What the faults met.
+    /// Call states that the faults occurred in.
     pub coverage: Coverage,
 }
 
 impl Summary {
-    /// Adds one trial.
+    /// Adds the result of one trial.
     pub fn add(&mut self, seed: u64, verdict: &Verdict, coverage: &Coverage) {
         self.trials += 1;
         self.judged += verdict.judged;
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Whether no rule was broken and enough was judged.
+    /// Returns whether no rule was broken and enough calls were judged.
     pub fn passed(&self) -> bool {
         let all = (self.judged + self.not_judged).max(1) as f64;
         self.broken.is_empty() && self.not_judged as f64 / all <= MAX_NOT_JUDGED_SHARE
     }
 
-    /// The tables.
+    /// Returns the summary as tables.
     pub fn text(&self) -> String {
         let mut rule_table = Table::new();
         rule_table.load_preset(ASCII_MARKDOWN).set_header(["rule", "breaches", "seeds"]);
@@ -87,7 +87,7 @@
     }
 }
 
-/// The schedule of a plan.
+/// Returns the schedule of a plan as text.
 pub fn timeline(plan: &Plan) -> String {
     let mut text = format!(
         "seed {}: {} proxies, {} exchanges, {:.1} s of load, {} calls, callers wait {} s at most, {} descriptors, {} MB\n",
@@ -106,7 +106,7 @@
     text
 }
 
-/// One call's life over all processes, with the proxy's log lines of its id.
+/// Returns the timeline of one call over all processes, with the lines of the proxy's log that contain its Call-ID.
 pub fn call_timeline(outcome: &TrialOutcome, proxy: usize, call: &str) -> String {
     let mut text = String::new();
     for entry in outcome.entries.iter().filter(|entry| entry.call_id == call) {
@@ -125,7 +125,7 @@
     text
 }
 
-/// The breaches of a trial, with what is needed to look into them.
+/// Returns the breaches of a trial as text, with the timelines of the calls and the command that replays the trial.
 pub fn breaches(plan: &Plan, outcome: &TrialOutcome, verdict: &Verdict) -> String {
     let mut text = String::new();
     let mut printed: BTreeMap<&str, usize> = BTreeMap::new();
--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a trial: they keep connections, ask for calls, and behave badly where a fault says so.
+//! The callers of a trial: they keep connections, send set-ups, and simulate the faults of callers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,15 +13,15 @@
 use crate::judge::view::CLOSE_CROSSING_S;
 use crate::plan::PlannedCall;
 
-/// A connection that has had no call on it for so long is closed (PROTOCOL, 'Callers to signalling proxies').
+/// Time in seconds after which a connection without calls is closed (PROTOCOL, 'Callers to signalling proxies').
 const IDLE_TIMEOUT_S: f64 = 4.0;
-/// New connections keep coming for so long after SIGTERM (PROTOCOL, 'Figures').
+/// Time in seconds after SIGTERM in which callers still open new connections (PROTOCOL, 'Figures').
 const CONNECT_WINDOW_AFTER_TERM_S: f64 = 0.4;
-/// A caller notices an answer, or that it waits in vain, within so long.
+/// Interval in seconds at which a caller checks for an answer or an expired wait.
 const POLL_INTERVAL_S: f64 = 0.005;
-/// Bytes of a piece, and the pause after it, of a slow writer.
+/// Bytes of each write, and the pause in seconds after it, of a slow writer.
 const SLOW_WRITE: (usize, f64) = (40, 0.01);
-/// A caller that gives up early waits for this share of its time.
+/// Share of its waiting time after which a caller that gives up early cancels.
 const EARLY_CANCEL_SHARE: f64 = 0.15;
 
 type CallerConnection = Rc<Caller>;
@@ -29,20 +29,20 @@
 /// The callers of one proxy.
 pub struct CallerPool {
     connections: RefCell<Vec<Option<CallerConnection>>>,
-    /// They give up early and ask again.
+    /// Whether the callers give up early and repeat the call.
     pub impatient: Cell<bool>,
-    /// They write in pieces.
+    /// Whether the callers write in fragments.
     pub slow: Cell<bool>,
 }
 
 impl CallerPool {
-    /// So many callers, none of them connected.
+    /// Creates a pool of callers without connections.
     pub fn new(callers: usize) -> CallerPool {
         let connections = RefCell::new((0..callers).map(|_| None).collect());
         CallerPool { connections, impatient: Cell::new(false), slow: Cell::new(false) }
     }
 
-    /// All of them close their connections.
+    /// Closes the connections of all callers.
     pub fn close_all(&self) {
         self.connections
             .borrow_mut()
@@ -51,7 +51,7 @@
             .for_each(|connection| connection.close());
     }
 
-    /// Those that have had no call for long close theirs.
+    /// Closes the connections that have been idle for [`IDLE_TIMEOUT_S`].
     pub fn close_idle(&self) {
         for current in self.connections.borrow_mut().iter_mut() {
             if let Some(connection) = current.take_if(|connection| connection.is_idle_for(IDLE_TIMEOUT_S)) {
@@ -62,7 +62,8 @@
 }
 
 impl RunningTrial {
-    /// The connection of a caller: the one it has, else a new one. What is sent `again` may connect whenever it can.
+    /// Returns the connection of a caller and opens one if it has none. A set-up that is sent again may open one at
+    /// any time while the proxy runs.
     async fn connection(&self, proxy: usize, caller: usize, is_resend: bool) -> Option<CallerConnection> {
         let current = self.pools[proxy].connections.borrow()[caller].clone();
         if let Some(connection) = current.filter(|connection| connection.closed_at().is_none()) {
@@ -87,7 +88,7 @@
         Some(connection)
     }
 
-    /// One call, and its caller's second try where callers are impatient.
+    /// Plays one call, and repeats it once if it got no answer and the callers are impatient.
     pub(super) async fn play_call(&self, planned: PlannedCall) {
         let number = self.next_id.get();
         self.next_id.set(number + 1);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Asks for a call and waits; returns whether there was a final answer.
+    /// Sends a set-up and waits; returns whether there was a final answer.
     async fn request_call(&self, planned: &PlannedCall, call: &str) -> bool {
         let script = CallScript { answer_ms: planned.answer_ms, hold_ms: planned.hold_ms };
         let set_up = SetUp {
@@ -122,7 +123,7 @@
                     self.hang_up(planned, call).await;
                     return true;
                 }
-                // It crossed the close of its connection: it is sent again, once.
+                // The set-up crossed the close of its connection: it is sent again, once.
                 WaitResult::CrossedClose if !resent => resent = true,
                 WaitResult::CrossedClose | WaitResult::Ended => return false,
             }
@@ -153,7 +154,7 @@
                     WaitResult::Ended
                 };
             }
-            // The half second for which an answer still counts is waited for.
+            // An answer counts until half a second after the deadline, so the caller waits a little longer than that.
             let wait_limit_s =
                 if gives_up_early { deadline_s * EARLY_CANCEL_SHARE } else { deadline_s + 0.6 };
             if now() - sent_at >= wait_limit_s {
@@ -178,14 +179,14 @@
         if established_at.is_none() || released_at.is_some() {
             return;
         }
-        // On whatever connection there is.
+        // A release may go on any connection of the caller.
         if let Some(connection) = self.connection(planned.proxy, planned.caller, false).await {
             let _ = connection.hang_up(call).await;
         }
     }
 }
 
-/// How a wait for an answer ended.
+/// Result of waiting for an answer.
 enum WaitResult {
     Answered,
     /// The proxy closed the connection while the set-up was on its way.
--- a/crates/soak/src/trial/faults.rs
+++ b/crates/soak/src/trial/faults.rs
@@ -13,11 +13,11 @@
 use crate::fault::FaultKind;
 use crate::plan::PlannedFault;
 
-/// Connections of a crowd.
+/// Number of connections of a crowd.
 const CROWD_CONNECTIONS: usize = 150;
-/// How long a crowd stays on each connection.
+/// Time in seconds that each connection of a crowd stays open.
 const CROWD_HOLD_S: f64 = 3.0;
-/// From the end of a process that discovery does not know yet to the news of it.
+/// Delay in seconds until discovery publishes a process that has replaced another.
 const ROSTER_DELAY_S: f64 = 1.5;
 
 impl RunningTrial {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// In which states a fault meets calls.
+    /// Records the call states that a fault occurs in.
     fn record_coverage(&self, fault: &PlannedFault) {
         let exchanges = self.exchanges.borrow();
         let affected: Vec<&Exchange> = match fault.kind.target() {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Faults that change what an exchange is, one at a time for each.
+    /// Plays a fault that changes the state of an exchange; each exchange has at most one at a time.
     async fn change_exchange(self: &Rc<Self>, fault: &PlannedFault) {
         if !self.changing_exchanges.borrow_mut().insert(fault.target) {
             return;
@@ -139,7 +139,7 @@
         self.changing_exchanges.borrow_mut().remove(&fault.target);
     }
 
-    /// Another exchange takes the number of one that is gone.
+    /// Starts a new exchange that takes the number of one that is gone.
     fn replace_with_new_exchange(&self, exchange_index: usize, old: &Exchange) {
         let number = self.next_id.get();
         self.next_id.set(number + 1);
@@ -152,7 +152,7 @@
         self.exchanges.borrow_mut()[exchange_index] = new;
     }
 
-    /// Another process at the same address, of which discovery tells later.
+    /// Starts another process at the same address; discovery publishes it after a delay.
     async fn restart_at_address(&self, exchange: &Exchange) {
         let started = unix_ms();
         if exchange.replace().await.is_ok() {
@@ -199,7 +199,7 @@
         }
         sleep(fault.duration_s).await;
         for discovery in &self.discoveries {
-            // Its address may be taken for a moment more.
+            // The address may still be in use for a moment.
             while discovery.recover().is_err() {
                 sleep(0.01).await;
             }
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Callers whose messages make no sense, each on a connection of its own.
+    /// Sends malformed requests and a duplicate Call-ID, each on a connection of its own.
     async fn send_malformed_requests(&self, proxy: usize) {
         let duplicate_call_id =
             "INVITE sip:a5-h10@net SIP/2.0\r\nCall-ID: ffffffffffffffff\r\nCSeq: 1 INVITE\r\n\
@@ -230,7 +230,7 @@
         ];
         for bytes in malformed {
             let Ok(mut stream) = TcpStream::connect(self.proxies[proxy].listen()).await else { return };
-            // Whether the proxy reads it is its own matter.
+            // The proxy may close the connection before it has read everything.
             let _ = stream.write_all(bytes).await;
             let keep_open = async move {
                 sleep(1.0).await;
--- a/crates/soak/src/trial/proxies.rs
+++ b/crates/soak/src/trial/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a trial: started, signalled, started again.
+//! The proxies of a trial: starts, signals and restarts their processes.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -11,28 +11,28 @@
 use mallowring_standin::sleep;
 use rustix::process::Signal;
 
-/// Between two looks at a process.
+/// Interval in seconds at which a process is polled.
 const POLL_INTERVAL_S: f64 = 0.01;
 
-/// What a proxy's process does.
+/// State of a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessState {
-    /// It runs.
+    /// The process runs and is ready.
     Running,
-    /// It was told to end at this time.
+    /// SIGTERM was sent at this time, in seconds of Unix time.
     Terminating(f64),
-    /// It has ended, or does not pass a test yet.
+    /// The process has exited, or does not answer OPTIONS requests yet.
     NotReady,
 }
 
-/// One proxy, through all its processes.
+/// One proxy, across restarts of its process.
 pub struct SupervisedProxy {
     index: usize,
     program: PathBuf,
     record: Record,
     proxy: RefCell<Proxy>,
     process_state: Cell<ProcessState>,
-    /// The logs of processes that have ended.
+    /// The logs of processes that have exited.
     logs: RefCell<String>,
 }
 
@@ -56,34 +56,34 @@
         self.record.add("trial", self.index, "", observation);
     }
 
-    /// Where callers connect.
+    /// Returns the address that callers connect to.
     pub fn listen(&self) -> SocketAddr {
         self.proxy.borrow().listen
     }
 
-    /// What its process does.
+    /// Returns the state of the process.
     pub fn process_state(&self) -> ProcessState {
         self.process_state.get()
     }
 
-    /// All that it has logged.
+    /// Returns the logs of all processes of the proxy.
     pub fn log(&self) -> String {
         format!("{}{}", self.logs.borrow(), self.proxy.borrow().log())
     }
 
-    /// Memory in kB and descriptors of its process; nothing where there is none.
+    /// Returns the resident memory in kB and the number of descriptors; `None` if no process runs.
     pub fn resources(&self) -> Option<(u64, usize)> {
         let proxy = self.proxy.borrow();
         let (memory, descriptors) = (proxy.memory_kb().0, proxy.descriptors());
         (memory > 0).then_some((memory, descriptors))
     }
 
-    /// Nanoseconds for which its process has waited for a processor.
+    /// Returns the time that the process has waited for a CPU, in nanoseconds.
     pub fn scheduling_delay_ns(&self) -> u64 {
         self.proxy.borrow().scheduling_delay_ns()
     }
 
-    /// Waits until it passes a test.
+    /// Waits until the proxy answers an OPTIONS request, at most for `seconds`.
     pub async fn wait_until_ready(&self, seconds: f64) {
         let (until, listen) = (now() + seconds, self.listen());
         while now() < until {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Notes an end that nobody asked for.
+    /// Records an exit that nothing in the trial has caused.
     pub fn detect_exit(&self) {
         if self.process_state.get() == ProcessState::Running {
             if let Some(clean) = self.proxy.borrow_mut().try_exit_success() {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// SIGTERM, and SIGKILL at a time if it still runs; then another process.
+    /// Sends SIGTERM, and SIGKILL after `kill_after` seconds if the process still runs; then starts another process.
     pub async fn terminate(&self, kill_after: f64, discovery: &Discovery) {
         if self.process_state.get() != ProcessState::Running {
             return;
@@ -128,7 +128,7 @@
         self.restart(discovery).await;
     }
 
-    /// SIGKILL without a word; then another process.
+    /// Sends SIGKILL without SIGTERM; then starts another process.
     pub async fn kill(&self, discovery: &Discovery) {
         if self.process_state.get() == ProcessState::Running {
             self.kill_now().await;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A bad configuration and a good one, read one after the other.
+    /// Writes an invalid configuration and then a valid one, and makes the proxy read each.
     pub async fn reconfigure(&self, discovery: &Discovery) {
         let written = self.proxy.borrow().write_invalid_config();
         if written.is_ok() && self.process_state.get() == ProcessState::Running {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The trial is over.
+    /// Kills the process at the end of the trial.
     pub fn end(&self) {
         self.process_state.set(ProcessState::NotReady);
         self.proxy.borrow().signal(Signal::KILL);
--- a/crates/soak/src/trial/watch.rs
+++ b/crates/soak/src/trial/watch.rs
@@ -1,4 +1,5 @@
-//! Watches over a trial: whether its own processes got their time, what the proxies hold, who closes idle connections.
+//! Monitors a trial: detects stalls of the test machine, samples the resources of the proxies and closes idle
+//! connections.
 
 use std::rc::Rc;
 
@@ -8,9 +9,9 @@
 use super::RunningTrial;
 use crate::judge::view::STALL_THRESHOLD_S;
 
-/// Between two looks at the time.
+/// Interval in seconds between two checks of the clock.
 const CHECK_INTERVAL_S: f64 = 0.01;
-/// Looks between two samples of the proxies.
+/// Number of checks between two samples of the proxies.
 const CHECKS_PER_SAMPLE: u64 = 20;
 
 impl RunningTrial {
@@ -42,7 +43,7 @@
             if let Some((memory_kb, descriptors)) = supervised.resources() {
                 self.record.add("trial", proxy, "", Observation::Resources { memory_kb, descriptors });
             }
-            // A proxy that waited for a processor is no slower than its machine.
+            // A proxy that waited for a CPU is slow because of the machine: the calls in progress are not judged.
             let run_delay_ns = supervised.scheduling_delay_ns();
             let waited_s = run_delay_ns.saturating_sub(run_delays_ns[proxy]) as f64 / 1e9;
             if run_delays_ns[proxy] > 0 && waited_s > STALL_THRESHOLD_S {
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,4 +1,5 @@
-//! The judge on scripted records: for each rule one that breaks it alone, and one that keeps it by a millisecond.
+//! Rule checks on scripted records: for each rule one record that breaks only this rule, and one that keeps it by a
+//! millisecond.
 
 use mallowring_soak::judge::{check_rules, DeploymentParameters};
 use mallowring_standin::record::{Entry, Observation};
@@ -57,7 +58,7 @@
     Observation::Answered { status, description }
 }
 
-/// A call that stands from 0.1 s on, with its caller connected.
+/// A call that is established from 0.1 s on, with its caller connected.
 fn standing() -> Vec<Entry> {
     vec![
         entry(-1.0, "c", "", Observation::CallerConnected),
@@ -68,9 +69,9 @@
     ]
 }
 
-/// The rules that a record breaks.
+/// Returns the rules that a record breaks.
 fn broken(mut entries: Vec<Entry>) -> Vec<&'static str> {
-    // So long that whatever is owed is due.
+    // An entry at 60 s, by which every release is due.
     entries.push(entry(60.0, "end", "", Observation::Reachable(true)));
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut rules: Vec<_> = check_rules(&entries, &deployment_parameters())
@@ -195,7 +196,7 @@
     breaks_alone("sent after the answer", sent(0.55 + MS));
 }
 
-/// A call that goes to an exchange which discovery had published as draining, so many seconds before.
+/// A call to an exchange that discovery published as draining `published` seconds before.
 fn drained(published: f64, told: Option<f64>, back: Option<f64>) -> Vec<Entry> {
     let gone = |observation| entry(0.01 - published, "discovery", "", observation);
     let mut record = standing();
@@ -220,7 +221,7 @@
 fn news_that_did_not_arrive_counts_as_told() {
     keeps_all(drained(7.55 - MS, None, None));
     breaks_alone("drain", drained(7.55 + MS, None, None));
-    // After a failure: 6 s from when it could be reached again.
+    // After an outage: 6 s from the moment at which discovery is reachable again.
     keeps_all(drained(6.9, None, Some(6.55 - MS)));
     breaks_alone("drain", drained(6.9, None, Some(6.55 + MS)));
 }
@@ -269,7 +270,7 @@
 
 #[test]
 fn a_cold_exchange_that_is_pushed_over() {
-    // 4 x 10/s x 2 s x (0.34 + 0.66 x 0.5 / 15) = 28.96, and 3 roots of it and 3 more: 48.1.
+    // 4 x 10/s x 2 s x (0.34 + 0.66 x 0.5 / 15) = 28.96; plus 3 times its square root, plus 3: 48.1.
     let storm = |n: usize| {
         let mut record = vec![
             entry(0.0, "s1", "", Observation::StartedCold),
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans are drawn from their seed alone, and the command line says what is wrong with it.
+//! Plans depend on their seed alone, and the command line names what is wrong with an option.
 
 use std::process::Command;
 
