--- a/crates/soak/src/judge/view.rs
+++ b/crates/soak/src/judge/view.rs
@@ -44,7 +44,7 @@
     pub at: f64,
     /// Time at which the answer was written or the set-up was cancelled.
     pub end: Option<f64>,
-    /// Whether the attempt ended by a cancel or a 504, so that a pause has to follow its end.
+    /// Whether the attempt ended by a cancel or a reset (504), so that a pause has to follow its end.
     pub requires_pause: bool,
 }
 
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -140,7 +140,7 @@
         calls
     }
 
-    /// Draws bursts of one to four faults that overlap.
+    /// Draws bursts of one to four faults, which may overlap.
     fn draw_faults(&self, rng: &mut Pcg64Mcg, options: &Options) -> Vec<PlannedFault> {
         let kinds: Vec<FaultKind> = match options.only.is_empty() {
             true => FaultKind::ALL.to_vec(),
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -5,7 +5,7 @@
 use mallowring_standin::record::{Entry, Observation};
 
 const CALL: &str = "00000000000000aa";
-const MS: f64 = 0.001;
+const MILLISECOND_S: f64 = 0.001;
 
 fn deployment_parameters() -> DeploymentParameters {
     DeploymentParameters {
@@ -59,7 +59,7 @@
 }
 
 /// A call that is established from 0.1 s on, with its caller connected.
-fn standing() -> Vec<Entry> {
+fn established_call() -> Vec<Entry> {
     vec![
         entry(-1.0, "c", "", Observation::CallerConnected),
         requested(),
@@ -70,7 +70,7 @@
 }
 
 /// Returns the rules that a record breaks.
-fn broken(mut entries: Vec<Entry>) -> Vec<&'static str> {
+fn broken_rules(mut entries: Vec<Entry>) -> Vec<&'static str> {
     // An entry at 60 s, by which every release is due.
     entries.push(entry(60.0, "end", "", Observation::Reachable(true)));
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -84,21 +84,21 @@
 }
 
 #[track_caller]
-fn breaks_alone(rule: &str, entries: Vec<Entry>) {
-    assert_eq!(broken(entries), [rule]);
+fn assert_breaks_only(rule: &str, entries: Vec<Entry>) {
+    assert_eq!(broken_rules(entries), [rule]);
 }
 
 #[track_caller]
-fn keeps_all(entries: Vec<Entry>) {
-    assert_eq!(broken(entries), [""; 0]);
+fn assert_keeps_all(entries: Vec<Entry>) {
+    assert_eq!(broken_rules(entries), [""; 0]);
 }
 
 #[test]
 fn an_answer_in_time_late_and_never() {
-    keeps_all(vec![requested(), caller(2.55 - MS, answered(503))]);
-    breaks_alone("answer", vec![requested(), caller(2.55 + MS, answered(503))]);
-    breaks_alone("answer", vec![requested()]);
-    keeps_all(vec![requested(), caller(2.0, Observation::GaveUp)]);
+    assert_keeps_all(vec![requested(), caller(2.55 - MILLISECOND_S, answered(503))]);
+    assert_breaks_only("answer", vec![requested(), caller(2.55 + MILLISECOND_S, answered(503))]);
+    assert_breaks_only("answer", vec![requested()]);
+    assert_keeps_all(vec![requested(), caller(2.0, Observation::GaveUp)]);
 }
 
 #[test]
@@ -113,25 +113,28 @@
             trial(request + 0.5, end),
         ]
     };
-    keeps_all(ended(-MS, Observation::Killed));
-    breaks_alone("answer", ended(MS, Observation::Killed));
-    breaks_alone("answer", ended(-MS, Observation::ProxyEnded { clean: true }));
+    assert_keeps_all(ended(-MILLISECOND_S, Observation::Killed));
+    assert_breaks_only("answer", ended(MILLISECOND_S, Observation::Killed));
+    assert_breaks_only("answer", ended(-MILLISECOND_S, Observation::ProxyEnded { clean: true }));
 }
 
 #[test]
 fn a_second_answer() {
-    breaks_alone("second answer", vec![requested(), caller(0.1, answered(503)), caller(0.2, answered(503))]);
+    assert_breaks_only(
+        "second answer",
+        vec![requested(), caller(0.1, answered(503)), caller(0.2, answered(503))],
+    );
 }
 
 #[test]
 fn a_description_that_no_exchange_gave_and_one_that_was_changed() {
-    let mut record = standing();
-    keeps_all(record.clone());
+    let mut record = established_call();
+    assert_keeps_all(record.clone());
     record[4].observation = Observation::Answered { status: 200, description: "another".to_owned() };
-    breaks_alone("description", record);
-    let mut record = standing();
+    assert_breaks_only("description", record);
+    let mut record = established_call();
     record[2].observation = Observation::SetUp { description: "another".to_owned() };
-    breaks_alone("description", record);
+    assert_breaks_only("description", record);
 }
 
 #[test]
@@ -146,8 +149,8 @@
             caller(0.7, answered(503)),
         ]
     };
-    keeps_all(two(0.45 + MS));
-    breaks_alone("one attempt out", two(0.45 - MS));
+    assert_keeps_all(two(0.45 + MILLISECOND_S));
+    assert_breaks_only("one attempt out", two(0.45 - MILLISECOND_S));
 }
 
 #[test]
@@ -160,8 +163,8 @@
         }
         record
     };
-    keeps_all(tries(4));
-    breaks_alone("attempts", tries(5));
+    assert_keeps_all(tries(4));
+    assert_breaks_only("attempts", tries(5));
 }
 
 #[test]
@@ -177,8 +180,8 @@
                 caller(1.1, answered(503)),
             ]
         };
-        keeps_all(again(0.45 + MS));
-        breaks_alone("pause", again(0.45 - MS));
+        assert_keeps_all(again(0.45 + MILLISECOND_S));
+        assert_breaks_only("pause", again(0.45 - MILLISECOND_S));
     }
 }
 
@@ -192,20 +195,20 @@
             exchange(at + 0.01, set_up_ended(503)),
         ]
     };
-    keeps_all(sent(0.55 - MS));
-    breaks_alone("sent after the answer", sent(0.55 + MS));
+    assert_keeps_all(sent(0.55 - MILLISECOND_S));
+    assert_breaks_only("sent after the answer", sent(0.55 + MILLISECOND_S));
 }
 
 /// A call to an exchange that discovery published as draining `published` seconds before.
-fn drained(published: f64, told: Option<f64>, back: Option<f64>) -> Vec<Entry> {
-    let gone = |observation| entry(0.01 - published, "discovery", "", observation);
-    let mut record = standing();
-    record.push(gone(Observation::Published { exchange: "s1".to_owned(), ready: false }));
-    if let Some(ago) = told {
+fn call_to_draining_exchange(published: f64, sent: Option<f64>, reachable_again: Option<f64>) -> Vec<Entry> {
+    let from_discovery = |observation| entry(0.01 - published, "discovery", "", observation);
+    let mut record = established_call();
+    record.push(from_discovery(Observation::Published { exchange: "s1".to_owned(), ready: false }));
+    if let Some(ago) = sent {
         let observation = Observation::Told { exchange: "s1".to_owned(), ready: false };
         record.push(entry(0.01 - ago, "discovery", "", observation));
     }
-    if let Some(ago) = back {
+    if let Some(ago) = reachable_again {
         record.push(entry(0.01 - ago, "discovery", "", Observation::Reachable(true)));
     }
     record
@@ -213,65 +216,65 @@
 
 #[test]
 fn a_send_to_an_exchange_that_drains() {
-    keeps_all(drained(0.6, Some(0.55 - MS), None));
-    breaks_alone("drain", drained(0.6, Some(0.55 + MS), None));
+    assert_keeps_all(call_to_draining_exchange(0.6, Some(0.55 - MILLISECOND_S), None));
+    assert_breaks_only("drain", call_to_draining_exchange(0.6, Some(0.55 + MILLISECOND_S), None));
 }
 
 #[test]
-fn news_that_did_not_arrive_counts_as_told() {
-    keeps_all(drained(7.55 - MS, None, None));
-    breaks_alone("drain", drained(7.55 + MS, None, None));
+fn an_undelivered_roster_change_counts_after_its_time_limit() {
+    assert_keeps_all(call_to_draining_exchange(7.55 - MILLISECOND_S, None, None));
+    assert_breaks_only("drain", call_to_draining_exchange(7.55 + MILLISECOND_S, None, None));
     // After an outage: 6 s from the moment at which discovery is reachable again.
-    keeps_all(drained(6.9, None, Some(6.55 - MS)));
-    breaks_alone("drain", drained(6.9, None, Some(6.55 + MS)));
+    assert_keeps_all(call_to_draining_exchange(6.9, None, Some(6.55 - MILLISECOND_S)));
+    assert_breaks_only("drain", call_to_draining_exchange(6.9, None, Some(6.55 + MILLISECOND_S)));
 }
 
 #[test]
 fn a_release_that_is_passed_on_late() {
-    let released = |heard: Option<f64>| {
-        let mut record = standing();
+    let released = |received_at: Option<f64>| {
+        let mut record = established_call();
         record.push(exchange(3.0, Observation::Over));
         record.push(exchange(3.0, Observation::ReleaseSent));
-        record.extend(heard.map(|at| caller(at, Observation::ReleaseHeard(16))));
+        record.extend(received_at.map(|at| caller(at, Observation::ReleaseHeard(16))));
         record
     };
-    keeps_all(released(Some(4.05 - MS)));
-    breaks_alone("release within 1 s", released(Some(4.05 + MS)));
-    let mut missed = broken(released(None));
-    missed.sort_unstable();
-    assert_eq!(missed, ["release within 1 s", "told within 8 s"]);
+    assert_keeps_all(released(Some(4.05 - MILLISECOND_S)));
+    assert_breaks_only("release within 1 s", released(Some(4.05 + MILLISECOND_S)));
+    let mut rules = broken_rules(released(None));
+    rules.sort_unstable();
+    assert_eq!(rules, ["release within 1 s", "told within 8 s"]);
 }
 
 #[test]
-fn an_end_without_a_sign_and_a_silent_exchange_excuses_nothing() {
-    let over = |heard: f64| {
-        let mut record = standing();
+fn an_end_without_a_release_is_reported_in_time_even_if_the_exchange_is_silent() {
+    let record_with_end = |received_at: f64| {
+        let mut record = established_call();
         record.push(entry(1.0, "s1", "", Observation::Silent));
         record.push(exchange(3.0, Observation::Over));
-        record.push(caller(heard, Observation::ReleaseHeard(41)));
+        record.push(caller(received_at, Observation::ReleaseHeard(41)));
         record
     };
-    keeps_all(over(11.05 - MS));
-    breaks_alone("told within 8 s", over(11.05 + MS));
+    assert_keeps_all(record_with_end(11.05 - MILLISECOND_S));
+    assert_breaks_only("told within 8 s", record_with_end(11.05 + MILLISECOND_S));
 }
 
 #[test]
-fn nothing_is_owed_to_a_caller_that_left_or_hung_up_or_through_a_proxy_that_was_killed() {
-    let over = |more: Entry| {
-        let mut record = standing();
+fn no_release_is_due_to_a_caller_that_left_or_hung_up_or_from_a_proxy_that_was_killed() {
+    let record_with_end = |more: Entry| {
+        let mut record = established_call();
         record.push(exchange(3.0, Observation::Over));
         record.push(more);
         record
     };
-    keeps_all(over(entry(5.0, "c", "", Observation::CallerDisconnected)));
-    keeps_all(over(caller(2.9, Observation::HungUp)));
-    keeps_all(over(entry(5.0, "trial", "", Observation::Killed)));
+    assert_keeps_all(record_with_end(entry(5.0, "c", "", Observation::CallerDisconnected)));
+    assert_keeps_all(record_with_end(caller(2.9, Observation::HungUp)));
+    assert_keeps_all(record_with_end(entry(5.0, "trial", "", Observation::Killed)));
 }
 
 #[test]
-fn a_cold_exchange_that_is_pushed_over() {
+fn a_cold_exchange_that_fails_through_overload() {
     // 4 x 10/s x 2 s x (0.34 + 0.66 x 0.5 / 15) = 28.96; plus 3 times its square root, plus 3: 48.1.
-    let storm = |n: usize| {
+    let overload = |n: usize| {
         let mut record = vec![
             entry(0.0, "s1", "", Observation::StartedCold),
             entry(0.0, "discovery", "", Observation::Told { exchange: "s1".to_owned(), ready: true }),
@@ -287,34 +290,34 @@
         }
         record
     };
-    keeps_all(storm(48));
-    breaks_alone("cold start", storm(49));
+    assert_keeps_all(overload(48));
+    assert_breaks_only("cold start", overload(49));
 }
 
 #[test]
-fn proxies_that_crash_start_late_or_hold_too_much() {
+fn proxies_that_crash_start_late_or_exceed_their_limits() {
     let trial = |at, observation| entry(at, "trial", "", observation);
     let started = |more: Vec<Entry>| [vec![trial(0.0, Observation::ProxyStarted)], more].concat();
-    keeps_all(started(vec![trial(10.0 - MS, Observation::ProxyReady)]));
-    breaks_alone("ready in time", started(vec![trial(10.0 + MS, Observation::ProxyReady)]));
+    assert_keeps_all(started(vec![trial(10.0 - MILLISECOND_S, Observation::ProxyReady)]));
+    assert_breaks_only("ready in time", started(vec![trial(10.0 + MILLISECOND_S, Observation::ProxyReady)]));
     let ready = || trial(1.0, Observation::ProxyReady);
     let ended = |clean| trial(3.0, Observation::ProxyEnded { clean });
-    breaks_alone("crash", started(vec![ready(), ended(true)]));
-    keeps_all(started(vec![ready(), trial(2.0, Observation::Terminated), ended(true)]));
-    breaks_alone("crash", started(vec![ready(), trial(2.0, Observation::Terminated), ended(false)]));
+    assert_breaks_only("crash", started(vec![ready(), ended(true)]));
+    assert_keeps_all(started(vec![ready(), trial(2.0, Observation::Terminated), ended(true)]));
+    assert_breaks_only("crash", started(vec![ready(), trial(2.0, Observation::Terminated), ended(false)]));
     let holds = |memory_kb, descriptors| {
         started(vec![ready(), trial(2.0, Observation::Resources { memory_kb, descriptors })])
     };
-    keeps_all(holds(32 * 1024, 256));
-    breaks_alone("memory", holds(32 * 1024 + 1, 256));
-    breaks_alone("descriptors", holds(32 * 1024, 257));
+    assert_keeps_all(holds(32 * 1024, 256));
+    assert_breaks_only("memory", holds(32 * 1024 + 1, 256));
+    assert_breaks_only("descriptors", holds(32 * 1024, 257));
 }
 
 #[test]
-fn what_was_under_way_while_the_trial_was_held_up_is_not_judged() {
-    let held = |at| vec![requested(), entry(at, "trial", "", Observation::HeldUp(0.2))];
-    assert_eq!(broken(held(1.0)), [""; 0]);
-    assert_eq!(broken(held(30.0)), ["answer"]);
-    let verdict = check_rules(&held(1.0), &deployment_parameters());
+fn calls_in_progress_during_a_stall_are_not_judged() {
+    let record_with_stall = |at| vec![requested(), entry(at, "trial", "", Observation::HeldUp(0.2))];
+    assert_eq!(broken_rules(record_with_stall(1.0)), [""; 0]);
+    assert_eq!(broken_rules(record_with_stall(30.0)), ["answer"]);
+    let verdict = check_rules(&record_with_stall(1.0), &deployment_parameters());
     assert_eq!((verdict.judged, verdict.not_judged), (0, 1));
 }
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn trials_stay_in_their_ranges_and_hold_every_fault() {
+fn plans_stay_in_their_ranges_and_hold_every_fault() {
     let plans: Vec<Plan> = (0..200).map(|seed| Plan::draw(seed, &Options::default())).collect();
     for plan in &plans {
         assert!((2..=6).contains(&plan.proxies) && (3..=12).contains(&plan.exchanges));
@@ -38,15 +38,15 @@
 #[test]
 fn a_bad_option_ends_with_2_and_names_it() {
     let program = env!("CARGO_BIN_EXE_mallowring-soak");
-    for (args, named) in [
+    for (args, expected) in [
         (&["run", "--seeds", "9..1"][..], "9..1"),
         (&["run", "--seeds", "1..2", "--only", "earthquake"][..], "earthquake"),
         (&["replay"][..], "SEED"),
         (&["replay", "1", "--program", "/nowhere/at/all"][..], "seed 1"),
     ] {
-        let output = Command::new(program).args(args).output().expect("it starts");
+        let output = Command::new(program).args(args).output().expect("the program starts");
         assert_eq!(output.status.code(), Some(2), "{args:?}");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert!(said.contains(named), "{args:?}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(stderr.contains(expected), "{args:?}: {stderr}");
     }
 }
