--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -25,10 +25,7 @@
 const EXIT_INTERRUPTED: i32 = 130;
 
 #[derive(Parser)]
-#[command(
-    name = "mallowring-soak",
-    about = "Short, dense trials of the built proxy, and a judge of every rule"
-)]
+#[command(name = "mallowring-soak", about = "Seeded trials of the built proxy, with a check of every rule")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
--- a/crates/soak/src/judge/calls.rs
+++ b/crates/soak/src/judge/calls.rs
@@ -9,8 +9,8 @@
 const LATE_ANSWER_GRACE_S: f64 = 0.5;
 /// Time limit in seconds from the release by the exchange to the release to the caller.
 const RELEASE_LIMIT_S: f64 = 1.0;
-/// Time limit in seconds from the end of a call to the release to its caller if the exchange could send no release.
-const RELEASE_WITHOUT_SIGNAL_LIMIT_S: f64 = 8.0;
+/// Time limit in seconds from the end of a call to the release to its caller, even if the exchange sends no release.
+const RELEASE_AFTER_END_LIMIT_S: f64 = 8.0;
 
 fn breach(rule: Rule, call: &CallHistory, at: f64, details: String) -> Option<Breach> {
     Some(Breach { rule, at, proxy: call.proxy, call: call.id.to_owned(), details })
@@ -28,12 +28,12 @@
     breaches.extend(sent_after_answer(call, context));
     breaches.extend(call.attempts.iter().filter_map(|attempt| drain(call, attempt, context, parameters)));
     breaches.extend(release(call, context));
-    breaches.extend(release_without_signal(call, context));
+    breaches.extend(release_after_end(call, context));
     breaches
 }
 
 fn answer(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
-    let limit = call.requested + call.deadline + LATE_ANSWER_GRACE_S + TOLERANCE_S;
+    let limit = call.requested_at + call.deadline + LATE_ANSWER_GRACE_S + TOLERANCE_S;
     let answered = call.answer().map(|(at, ..)| at);
     if answered.is_some_and(|at| at <= limit) {
         return None;
@@ -41,17 +41,19 @@
     if call.first(|observation| *observation == Observation::GaveUp).is_some_and(|at| at <= limit) {
         return None;
     }
-    let end = context.proxy_end_after(call.proxy, call.requested).filter(|end| *end <= limit);
+    let end = context.proxy_end_after(call.proxy, call.requested_at).filter(|end| *end <= limit);
     if let Some(end) = end {
-        if context.kill_excuses_missing_answer(call.proxy, call.requested, end) {
+        if context.kill_excuses_missing_answer(call.proxy, call.requested_at, end) {
             return None;
         }
-        let details =
-            format!("the proxy ended {:.3} s after the request and left it unanswered", end - call.requested);
+        let details = format!(
+            "the proxy ended {:.3} s after the request and left it unanswered",
+            end - call.requested_at
+        );
         return breach(ANSWER, call, end, details);
     }
     let details = match answered {
-        Some(at) => format!("answered {:.3} s after its deadline", at - call.requested - call.deadline),
+        Some(at) => format!("answered {:.3} s after its deadline", at - call.requested_at - call.deadline),
         None => format!("no answer; its caller waited {:.3} s", call.deadline),
     };
     breach(ANSWER, call, limit, details)
@@ -100,7 +102,7 @@
             // A set-up that a silent exchange reads late had been cancelled before.
             let late = [first, second]
                 .into_iter()
-                .any(|a| context.was_silent(&a.exchange, call.requested, second.at));
+                .any(|a| context.was_silent(&a.exchange, call.requested_at, second.at));
             let overlaps = first.end.is_none_or(|end| second.at < end - TOLERANCE_S);
             if overlaps && !late {
                 let details = format!("out at {} and at {}", first.exchange, second.exchange);
@@ -120,8 +122,9 @@
     for pair in call.attempts.windows(2) {
         let [first, second] = pair else { continue };
         let Some(end) = first.end.filter(|_| first.requires_pause) else { continue };
-        let was_silent =
-            [first, second].into_iter().any(|a| context.was_silent(&a.exchange, call.requested, second.at));
+        let was_silent = [first, second]
+            .into_iter()
+            .any(|a| context.was_silent(&a.exchange, call.requested_at, second.at));
         let waited = second.at - end;
         if waited < parameters.release_pause_s - TOLERANCE_S && !was_silent {
             return breach(PAUSE, call, second.at, format!("sent again after {waited:.3} s"));
@@ -134,7 +137,7 @@
     let (answered, ..) = call.answer()?;
     let late = |attempt: &&Attempt| {
         attempt.at > answered + TOLERANCE_S
-            && !context.was_silent(&attempt.exchange, call.requested, attempt.at)
+            && !context.was_silent(&attempt.exchange, call.requested_at, attempt.at)
     };
     let late = call.attempts.iter().find(late)?;
     breach(
@@ -167,7 +170,7 @@
     let established = call.answer().is_some_and(|(at, status, _)| status == 200 && at <= from);
     let hung_up =
         call.first(|observation| *observation == Observation::HungUp).is_some_and(|at| at <= due_at);
-    let ended = context.proxy_end_after(call.proxy, call.requested).is_some_and(|end| end <= due_at);
+    let ended = context.proxy_end_after(call.proxy, call.requested_at).is_some_and(|end| end <= due_at);
     established && !hung_up && !ended && context.caller_was_connected(call.proxy, from, due_at)
 }
 
@@ -186,16 +189,16 @@
     breach(RELEASE, call, due_at, format!("told {late:.3} s after the exchange's release"))
 }
 
-fn release_without_signal(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
+fn release_after_end(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
     let ended_at = call.first(|observation| *observation == Observation::Over)?;
-    let due_at = ended_at + RELEASE_WITHOUT_SIGNAL_LIMIT_S + TOLERANCE_S;
+    let due_at = ended_at + RELEASE_AFTER_END_LIMIT_S + TOLERANCE_S;
     if release_received_at(call) <= due_at
         || !is_release_due(call, context, ended_at - CLOSE_CROSSING_S, due_at)
     {
         return None;
     }
     breach(
-        RELEASE_WITHOUT_SIGNAL,
+        RELEASE_AFTER_END,
         call,
         due_at,
         format!("told {:.3} s after its end", release_received_at(call) - ended_at),
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -75,8 +75,8 @@
 };
 /// A release by the exchange reaches the caller within 1 s.
 pub const RELEASE: Rule = Rule { name: "release within 1 s", source: "PROTOCOL, 'The rules on sockets'" };
-/// If the exchange could send no release, the proxy releases the caller within 8 s of the end of the call.
-pub const RELEASE_WITHOUT_SIGNAL: Rule = Rule {
+/// The caller is released within 8 s of the end of the call, even if the exchange could send no release.
+pub const RELEASE_AFTER_END: Rule = Rule {
     name: "told within 8 s",
     source: "PROTOCOL, 'The rules on sockets'; issue 16: a silent server excuses nothing",
 };
@@ -103,7 +103,7 @@
     SENT_AFTER_ANSWER,
     DRAIN,
     RELEASE,
-    RELEASE_WITHOUT_SIGNAL,
+    RELEASE_AFTER_END,
     COLD_START,
     CRASH,
     READY,
--- a/crates/soak/src/judge/view.rs
+++ b/crates/soak/src/judge/view.rs
@@ -58,7 +58,7 @@
     /// The entries of the call in chronological order.
     pub entries: Vec<&'a Entry>,
     /// Time of the last request: a set-up that crossed a close is sent again.
-    pub requested: f64,
+    pub requested_at: f64,
     /// Time the caller waits for a final answer, in seconds.
     pub deadline: f64,
     /// The attempts in chronological order.
@@ -71,9 +71,9 @@
         let is_request = |entry: &&&'a Entry| matches!(entry.observation, Observation::Requested { .. });
         let last = entries.iter().rfind(is_request)?;
         let Observation::Requested { deadline } = last.observation else { return None };
-        let (proxy, requested) = (last.proxy, last.at);
+        let (proxy, requested_at) = (last.proxy, last.at);
         let attempts = attempts(&entries);
-        Some(CallHistory { id, proxy, entries, requested, deadline, attempts })
+        Some(CallHistory { id, proxy, entries, requested_at, deadline, attempts })
     }
 
     /// Returns the time of the first matching observation.
@@ -93,7 +93,7 @@
 fn attempts(entries: &[&Entry]) -> Vec<Attempt> {
     let mut attempts: Vec<Attempt> = Vec::new();
     for entry in entries {
-        let end = match &entry.observation {
+        let requires_pause = match &entry.observation {
             Observation::SetUp { .. } => {
                 let (exchange, at) = (entry.observer.clone(), entry.at);
                 attempts.push(Attempt { exchange, at, end: None, requires_pause: false });
@@ -105,7 +105,7 @@
         };
         let open = attempts.iter_mut().rev().find(|a| a.exchange == entry.observer && a.end.is_none());
         if let Some(attempt) = open {
-            (attempt.end, attempt.requires_pause) = (Some(entry.at), end);
+            (attempt.end, attempt.requires_pause) = (Some(entry.at), requires_pause);
         }
     }
     attempts
@@ -182,8 +182,8 @@
     /// Returns whether the trial stalled while observations of the call could have been delayed.
     pub fn overlaps_stall(&self, call: &CallHistory) -> bool {
         let times = call.entries.iter().map(|entry| entry.at);
-        let last = times.fold(call.requested + call.deadline, f64::max);
-        self.stalls.iter().any(|span| span.overlaps(call.requested, last + 1.0))
+        let last = times.fold(call.requested_at + call.deadline, f64::max);
+        self.stalls.iter().any(|span| span.overlaps(call.requested_at, last + 1.0))
     }
 
     /// Returns whether an exchange was silent at any time within a span.
@@ -206,11 +206,11 @@
     /// Returns whether a request that was unanswered at the end of its proxy is exempt: the proxy was killed without
     /// SIGTERM, or it was killed at the earliest allowed moment after SIGTERM and the request came no later than 0.7
     /// s after SIGTERM.
-    pub fn kill_excuses_missing_answer(&self, proxy: usize, requested: f64, end: f64) -> bool {
+    pub fn kill_excuses_missing_answer(&self, proxy: usize, requested_at: f64, end: f64) -> bool {
         let killed = self.killed.get(&proxy).is_some_and(|times| times.contains(&end));
         let terminated = self.terminated.get(&proxy).into_iter().flatten();
         let latest = terminated.copied().filter(|at| *at <= end && *at > end - 30.0).reduce(f64::max);
-        killed && latest.is_none_or(|at| requested <= at + ANSWER_DUE_AFTER_TERM_S)
+        killed && latest.is_none_or(|at| requested_at <= at + ANSWER_DUE_AFTER_TERM_S)
     }
 
     /// Returns the start time of the proxy's process that ran at a given time.
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -23,8 +23,8 @@
                     .insert(id, Call { port: port_index, connection, established: false });
                 self.occupy_circuit(port_index);
                 let exchange = self.clone();
-                let run = async move { exchange.run_call(port_index, connection, message).await };
-                self.0.executor.spawn(run).detach();
+                let handling = async move { exchange.run_call(port_index, connection, message).await };
+                self.0.executor.spawn(handling).detach();
             }
             Some("CANCEL") if self.is_pending(&id) => {
                 self.record_call_event(port_index, &id, Observation::SetUpCancelled);
@@ -104,21 +104,22 @@
         self.0.last_release_at.set(now());
         let port = &self.0.ports[call.port];
         let message = messages::release_request(id, 16);
-        let elsewhere = self.0.misbehaviour.get().releases_on_other_connection;
-        let on = {
+        let on_other_connection = self.0.misbehaviour.get().releases_on_other_connection;
+        let release_connection = {
             let open = port.connections.borrow();
-            let own = open.contains_key(&call.connection) && !elsewhere;
-            if own {
+            let use_own_connection = open.contains_key(&call.connection) && !on_other_connection;
+            if use_own_connection {
                 Some(call.connection)
             } else {
                 open.keys().next_back().copied()
             }
         };
         // A release on a silenced connection does not reach the proxy.
-        let audible_connection = on.filter(|on| !self.0.silenced.borrow().contains(on));
-        if let (Some(on), Condition::Working) = (audible_connection, self.0.condition.get()) {
+        let audible_connection = release_connection
+            .filter(|release_connection| !self.0.silenced.borrow().contains(release_connection));
+        if let (Some(release_connection), Condition::Working) = (audible_connection, self.0.condition.get()) {
             self.record_call_event(call.port, id, Observation::ReleaseSent);
-            self.write(call.port, on, &message);
+            self.write(call.port, release_connection, &message);
         }
         if self.0.condition.get() != Condition::Working {
             port.delayed_releases.borrow_mut().push(message.clone());
@@ -130,10 +131,10 @@
     /// connection to be opened.
     pub(super) fn send_delayed_releases(&self, port_index: usize) {
         let port = &self.0.ports[port_index];
-        let Some(on) = port.connections.borrow().keys().next().copied() else { return };
+        let Some(release_connection) = port.connections.borrow().keys().next().copied() else { return };
         for message in port.delayed_releases.borrow_mut().drain(..) {
             self.record_call_event(port_index, &call_id(&message), Observation::ReleaseSent);
-            self.write(port_index, on, &message);
+            self.write(port_index, release_connection, &message);
         }
     }
 
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -273,13 +273,13 @@
 
     async fn write_queued(&self, connection: u64, mut stream: TcpStream, queue: Receiver<Vec<u8>>) {
         while let Ok(bytes) = queue.recv().await {
-            let fragment =
+            let fragment_bytes =
                 if self.0.misbehaviour.get().fragmented_writes { FRAGMENT_BYTES } else { bytes.len().max(1) };
-            for bytes in bytes.chunks(fragment) {
+            for bytes in bytes.chunks(fragment_bytes) {
                 if self.0.silenced.borrow().contains(&connection) || stream.write_all(bytes).await.is_err() {
                     return;
                 }
-                if fragment == FRAGMENT_BYTES {
+                if fragment_bytes == FRAGMENT_BYTES {
                     sleep(FRAGMENT_PAUSE_S).await;
                 }
             }
