--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -11,7 +11,7 @@
 use smol::lock::Mutex;
 use smol::net::TcpStream;
 
-use crate::messages::{self, call_id, MessageReader, SetUp};
+use crate::messages::{self, call_id_of, MessageReader, SetUp};
 use crate::record::{now, Observation, Record};
 use crate::{sleep, Executor};
 
@@ -173,7 +173,7 @@
 ) {
     let mut reader = MessageReader::new(stream);
     while let Some(message) = reader.next().await {
-        let id = call_id(&message);
+        let id = call_id_of(&message);
         match (message.status(), message.method()) {
             (Some(status), _) if status >= 200 => {
                 let Some((_, "INVITE")) = message.cseq() else { continue };
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -3,7 +3,7 @@
 use mallowring::sip::message::{Message, Start};
 
 use super::{Call, Condition, Exchange};
-use crate::messages::{self, call_id, CallScript};
+use crate::messages::{self, call_id_of, CallScript};
 use crate::record::{now, Observation};
 use crate::sleep;
 
@@ -12,7 +12,7 @@
 
 impl Exchange {
     pub(super) fn handle_message(&self, port_index: usize, connection: u64, message: Message) {
-        let id = call_id(&message);
+        let id = call_id_of(&message);
         match message.method() {
             Some("INVITE") => {
                 let description = String::from_utf8_lossy(&message.body).into_owned();
@@ -50,7 +50,7 @@
 
     /// Handles one call according to its script: answers the set-up, holds the call and releases it.
     async fn run_call(&self, port_index: usize, connection: u64, set_up: Message) {
-        let (id, generation) = (call_id(&set_up), self.0.generation.get());
+        let (id, generation) = (call_id_of(&set_up), self.0.generation.get());
         let uri = match &set_up.start {
             Start::Request { uri, .. } => uri.as_str(),
             Start::Response { .. } => "",
@@ -133,7 +133,7 @@
         let port = &self.0.ports[port_index];
         let Some(release_connection) = port.connections.borrow().keys().next().copied() else { return };
         for message in port.delayed_releases.borrow_mut().drain(..) {
-            self.record_call_event(port_index, &call_id(&message), Observation::ReleaseSent);
+            self.record_call_event(port_index, &call_id_of(&message), Observation::ReleaseSent);
             self.write(port_index, release_connection, &message);
         }
     }
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -19,7 +19,7 @@
 use smol::net::{TcpListener, TcpStream};
 use socket2::Socket;
 
-use crate::messages::{self, call_id, MessageReader};
+use crate::messages::{self, call_id_of, MessageReader};
 use crate::record::{now, Observation, Record};
 use crate::{listener, sleep, Executor};
 
@@ -248,7 +248,7 @@
         self.0.executor.spawn(writing).detach();
         self.write(port_index, connection, &self.trunk_group_state(port_index));
         for message in port.releases_for_next_connection.borrow_mut().drain(..) {
-            self.record_call_event(port_index, &call_id(&message), Observation::ReleaseSent);
+            self.record_call_event(port_index, &call_id_of(&message), Observation::ReleaseSent);
             self.write(port_index, connection, &message);
         }
         self.read_messages(port_index, connection, stream, generation).await;
--- a/crates/standin/src/messages.rs
+++ b/crates/standin/src/messages.rs
@@ -43,7 +43,7 @@
 }
 
 /// Returns the Call-ID of a message, or an empty string if it has none.
-pub fn call_id(message: &Message) -> String {
+pub fn call_id_of(message: &Message) -> String {
     message.get("Call-ID").unwrap_or_default().to_owned()
 }
 
