--- a/crates/soak/src/trial/proxies.rs
+++ b/crates/soak/src/trial/proxies.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Writes an invalid configuration and then a valid one, and makes the proxy read each.
+    /// Writes an invalid configuration and then twice a valid one, and makes the proxy read each.
     pub async fn reconfigure(&self, discovery: &Discovery) {
         let written = self.proxy.borrow().write_invalid_config();
         if written.is_ok() && self.process_state.get() == ProcessState::Running {
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -96,7 +96,8 @@
         /// Open file descriptors.
         descriptors: usize,
     },
-    /// The trial's own process, or a proxy, was not scheduled for this many seconds.
+    /// Within the last seconds, of which this is the number, the trial's own process or a proxy waited too long for a
+    /// CPU.
     HeldUp(f64),
 }
 
