--- a/crates/soak/src/judge/calls.rs
+++ b/crates/soak/src/judge/calls.rs
@@ -47,7 +47,7 @@
             return None;
         }
         let details = format!(
-            "the proxy ended {:.3} s after the request and left it unanswered",
+            "the proxy exited {:.3} s after the request without answering it",
             end - call.requested_at
         );
         return breach(ANSWER, call, end, details);
@@ -69,13 +69,13 @@
 fn description(call: &CallHistory) -> Option<Breach> {
     let expected_body = format!("offer-{}", call.id);
     for entry in &call.entries {
-        if let Observation::SetUp { description } = &entry.observation {
+        if let Observation::SetUpReceived { description } = &entry.observation {
             if *description != expected_body {
                 return breach(
                     DESCRIPTION,
                     call,
                     entry.at,
-                    format!("{} was offered '{description}'", entry.observer),
+                    format!("{} received a set-up with the body '{description}'", entry.observer),
                 );
             }
         }
@@ -83,14 +83,14 @@
     let (at, status, received) = call.answer()?;
     let was_given = |entry: &&&mallowring_standin::record::Entry| {
         matches!(&entry.observation,
-        Observation::SetUpEnded { status: 200, description } if description == received)
+        Observation::SetUpAnswered { status: 200, description } if description == received)
     };
     if status == 200 && !call.entries.iter().any(|entry| was_given(&entry)) {
         return breach(
             DESCRIPTION,
             call,
             at,
-            format!("served with '{received}', which no exchange made for it"),
+            format!("answered with '{received}', which no exchange sent for this call"),
         );
     }
     None
@@ -105,7 +105,10 @@
                 .any(|a| context.was_silent(&a.exchange, call.requested_at, second.at));
             let overlaps = first.end.is_none_or(|end| second.at < end - TOLERANCE_S);
             if overlaps && !late {
-                let details = format!("out at {} and at {}", first.exchange, second.exchange);
+                let details = format!(
+                    "attempts pending at {} and at {} at the same time",
+                    first.exchange, second.exchange
+                );
                 return breach(ONE_ATTEMPT, call, second.at, details);
             }
         }
@@ -144,7 +147,7 @@
         SENT_AFTER_ANSWER,
         call,
         late.at,
-        format!("sent to {} {:.3} s after", late.exchange, late.at - answered),
+        format!("sent to {} {:.3} s after the final answer", late.exchange, late.at - answered),
     )
 }
 
@@ -159,8 +162,11 @@
     if late <= 0.0 || context.was_silent(&attempt.exchange, informed_at, attempt.at) {
         return None;
     }
-    let details =
-        format!("sent to {} {:.3} s after it counted as told", attempt.exchange, attempt.at - informed_at);
+    let details = format!(
+        "sent to {} {:.3} s after the proxy was considered informed",
+        attempt.exchange,
+        attempt.at - informed_at
+    );
     breach(DRAIN, call, attempt.at, details)
 }
 
@@ -175,7 +181,7 @@
 }
 
 fn release_received_at(call: &CallHistory) -> f64 {
-    call.first(|observation| matches!(observation, Observation::ReleaseHeard(_))).unwrap_or(f64::INFINITY)
+    call.first(|observation| matches!(observation, Observation::ReleaseReceived(_))).unwrap_or(f64::INFINITY)
 }
 
 fn release(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
@@ -186,11 +192,11 @@
         return None;
     }
     let late = release_received_at(call) - sent;
-    breach(RELEASE, call, due_at, format!("told {late:.3} s after the exchange's release"))
+    breach(RELEASE, call, due_at, format!("caller released {late:.3} s after the exchange's release"))
 }
 
 fn release_after_end(call: &CallHistory, context: &TrialContext) -> Option<Breach> {
-    let ended_at = call.first(|observation| *observation == Observation::Over)?;
+    let ended_at = call.first(|observation| *observation == Observation::CallEnded)?;
     let due_at = ended_at + RELEASE_AFTER_END_LIMIT_S + TOLERANCE_S;
     if release_received_at(call) <= due_at
         || !is_release_due(call, context, ended_at - CLOSE_CROSSING_S, due_at)
@@ -201,6 +207,6 @@
         RELEASE_AFTER_END,
         call,
         due_at,
-        format!("told {:.3} s after its end", release_received_at(call) - ended_at),
+        format!("caller released {:.3} s after the end of the call", release_received_at(call) - ended_at),
     )
 }
--- a/crates/soak/src/judge/fleet.rs
+++ b/crates/soak/src/judge/fleet.rs
@@ -38,7 +38,7 @@
     if clean && requested {
         return None;
     }
-    let details = if requested { "ended after SIGTERM without success" } else { "ended by itself" };
+    let details = if requested { "exited with an error after SIGTERM" } else { "exited without SIGTERM" };
     breach(CRASH, entry, entry.at, details.to_owned())
 }
 
@@ -87,14 +87,14 @@
 }
 
 fn cold_start(entry: &Entry, later: &[Entry], parameters: &DeploymentParameters) -> Option<Breach> {
-    let sent = later
-        .iter()
-        .filter(|e| e.observer == entry.observer && matches!(e.observation, Observation::SetUp { .. }));
+    let sent = later.iter().filter(|e| {
+        e.observer == entry.observer && matches!(e.observation, Observation::SetUpReceived { .. })
+    });
     let sent: Vec<&Entry> = sent.take_while(|e| e.at - entry.at <= parameters.warm_up_s).collect();
     let informed_at = |proxy: usize| {
         let roster_events = later.iter().filter(|e| e.proxy == proxy);
         let roster_events = roster_events.filter(
-            |e| matches!(&e.observation, Observation::Told { exchange, ready: true } if *exchange == entry.observer),
+            |e| matches!(&e.observation, Observation::RosterSent { exchange, ready: true } if *exchange == entry.observer),
         );
         roster_events.map(|e| e.at).reduce(f64::min)
     };
--- a/crates/soak/src/judge/view.rs
+++ b/crates/soak/src/judge/view.rs
@@ -94,12 +94,12 @@
     let mut attempts: Vec<Attempt> = Vec::new();
     for entry in entries {
         let requires_pause = match &entry.observation {
-            Observation::SetUp { .. } => {
+            Observation::SetUpReceived { .. } => {
                 let (exchange, at) = (entry.observer.clone(), entry.at);
                 attempts.push(Attempt { exchange, at, end: None, requires_pause: false });
                 continue;
             }
-            Observation::SetUpEnded { status, .. } => *status == 504,
+            Observation::SetUpAnswered { status, .. } => *status == 504,
             Observation::SetUpCancelled => true,
             _ => continue,
         };
@@ -153,18 +153,18 @@
                             .push(Span { from, to: *at });
                     }
                 }
-                Observation::HeldUp(seconds) => context.stalls.push(Span { from: at - seconds, to: *at }),
+                Observation::Stalled(seconds) => context.stalls.push(Span { from: at - seconds, to: *at }),
                 Observation::Terminated => context.terminated.entry(*proxy).or_default().push(*at),
                 Observation::Killed => context.killed.entry(*proxy).or_default().push(*at),
                 Observation::ProxyEnded { .. } => context.exited.entry(*proxy).or_default().push(*at),
                 Observation::ProxyStarted => context.started.entry(*proxy).or_default().push(*at),
-                Observation::Published { exchange, ready: false } => {
+                Observation::RosterPublished { exchange, ready: false } => {
                     context.published_unavailable.entry(exchange.clone()).or_insert(*at);
                 }
-                Observation::Told { exchange, ready: false } => {
+                Observation::RosterSent { exchange, ready: false } => {
                     context.sent_unavailable.entry((*proxy, exchange.clone())).or_insert(*at);
                 }
-                Observation::Reachable(reachable) => {
+                Observation::DiscoveryReachable(reachable) => {
                     context.reachability_changes.entry(*proxy).or_default().push((*at, *reachable));
                 }
                 _ => {}
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -146,7 +146,7 @@
         let _ = writeln!(text, "  rule '{rule}': {n} breaches in all");
     }
     if !verdict.breaches.is_empty() {
-        let _ = writeln!(text, "  again: mallowring-soak replay {}", plan.seed);
+        let _ = writeln!(text, "  to replay: mallowring-soak replay {}", plan.seed);
     }
     text
 }
--- a/crates/soak/src/trial/callers.rs
+++ b/crates/soak/src/trial/callers.rs
@@ -174,7 +174,7 @@
             matches!(observation, mallowring_standin::record::Observation::Answered { status: 200, .. })
         });
         let released_at = self.record.first_seen(call, |observation| {
-            matches!(observation, mallowring_standin::record::Observation::ReleaseHeard(_))
+            matches!(observation, mallowring_standin::record::Observation::ReleaseReceived(_))
         });
         if established_at.is_none() || released_at.is_some() {
             return;
--- a/crates/soak/src/trial/watch.rs
+++ b/crates/soak/src/trial/watch.rs
@@ -25,7 +25,7 @@
                 sleep(CHECK_INTERVAL_S).await;
                 let delay_s = now() - check_started_at - CHECK_INTERVAL_S;
                 if delay_s > STALL_THRESHOLD_S {
-                    trial.record.add("trial", 0, "", Observation::HeldUp(delay_s));
+                    trial.record.add("trial", 0, "", Observation::Stalled(delay_s));
                 }
                 checks += 1;
                 if checks % CHECKS_PER_SAMPLE == 0 {
@@ -51,7 +51,7 @@
                     "trial",
                     proxy,
                     "",
-                    Observation::HeldUp(CHECK_INTERVAL_S * CHECKS_PER_SAMPLE as f64),
+                    Observation::Stalled(CHECK_INTERVAL_S * CHECKS_PER_SAMPLE as f64),
                 );
             }
             run_delays_ns[proxy] = run_delay_ns;
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -45,12 +45,12 @@
 }
 
 fn set_up() -> Observation {
-    Observation::SetUp { description: format!("offer-{CALL}") }
+    Observation::SetUpReceived { description: format!("offer-{CALL}") }
 }
 
 fn set_up_ended(status: u16) -> Observation {
     let description = if status == 200 { format!("answer-s1-{CALL}") } else { String::new() };
-    Observation::SetUpEnded { status, description }
+    Observation::SetUpAnswered { status, description }
 }
 
 fn answered(status: u16) -> Observation {
@@ -72,7 +72,7 @@
 /// Returns the rules that a record breaks.
 fn broken_rules(mut entries: Vec<Entry>) -> Vec<&'static str> {
     // An entry at 60 s, by which every release is due.
-    entries.push(entry(60.0, "end", "", Observation::Reachable(true)));
+    entries.push(entry(60.0, "end", "", Observation::DiscoveryReachable(true)));
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut rules: Vec<_> = check_rules(&entries, &deployment_parameters())
         .breaches
@@ -133,7 +133,7 @@
     record[4].observation = Observation::Answered { status: 200, description: "another".to_owned() };
     assert_breaks_only("description", record);
     let mut record = established_call();
-    record[2].observation = Observation::SetUp { description: "another".to_owned() };
+    record[2].observation = Observation::SetUpReceived { description: "another".to_owned() };
     assert_breaks_only("description", record);
 }
 
@@ -203,13 +203,13 @@
 fn call_to_draining_exchange(published: f64, sent: Option<f64>, reachable_again: Option<f64>) -> Vec<Entry> {
     let from_discovery = |observation| entry(0.01 - published, "discovery", "", observation);
     let mut record = established_call();
-    record.push(from_discovery(Observation::Published { exchange: "s1".to_owned(), ready: false }));
+    record.push(from_discovery(Observation::RosterPublished { exchange: "s1".to_owned(), ready: false }));
     if let Some(ago) = sent {
-        let observation = Observation::Told { exchange: "s1".to_owned(), ready: false };
+        let observation = Observation::RosterSent { exchange: "s1".to_owned(), ready: false };
         record.push(entry(0.01 - ago, "discovery", "", observation));
     }
     if let Some(ago) = reachable_again {
-        record.push(entry(0.01 - ago, "discovery", "", Observation::Reachable(true)));
+        record.push(entry(0.01 - ago, "discovery", "", Observation::DiscoveryReachable(true)));
     }
     record
 }
@@ -233,9 +233,9 @@
 fn a_release_that_is_passed_on_late() {
     let released = |received_at: Option<f64>| {
         let mut record = established_call();
-        record.push(exchange(3.0, Observation::Over));
+        record.push(exchange(3.0, Observation::CallEnded));
         record.push(exchange(3.0, Observation::ReleaseSent));
-        record.extend(received_at.map(|at| caller(at, Observation::ReleaseHeard(16))));
+        record.extend(received_at.map(|at| caller(at, Observation::ReleaseReceived(16))));
         record
     };
     assert_keeps_all(released(Some(4.05 - MILLISECOND_S)));
@@ -250,8 +250,8 @@
     let record_with_end = |received_at: f64| {
         let mut record = established_call();
         record.push(entry(1.0, "s1", "", Observation::Silent));
-        record.push(exchange(3.0, Observation::Over));
-        record.push(caller(received_at, Observation::ReleaseHeard(41)));
+        record.push(exchange(3.0, Observation::CallEnded));
+        record.push(caller(received_at, Observation::ReleaseReceived(41)));
         record
     };
     assert_keeps_all(record_with_end(11.05 - MILLISECOND_S));
@@ -262,7 +262,7 @@
 fn no_release_is_due_to_a_caller_that_left_or_hung_up_or_from_a_proxy_that_was_killed() {
     let record_with_end = |more: Entry| {
         let mut record = established_call();
-        record.push(exchange(3.0, Observation::Over));
+        record.push(exchange(3.0, Observation::CallEnded));
         record.push(more);
         record
     };
@@ -277,13 +277,18 @@
     let overload = |n: usize| {
         let mut record = vec![
             entry(0.0, "s1", "", Observation::StartedCold),
-            entry(0.0, "discovery", "", Observation::Told { exchange: "s1".to_owned(), ready: true }),
+            entry(0.0, "discovery", "", Observation::RosterSent { exchange: "s1".to_owned(), ready: true }),
         ];
         for ix in 0..n {
             let call = format!("{ix:016x}");
             record.push(entry(0.1, "c", &call, Observation::Requested { deadline: 2.0 }));
-            record.push(entry(0.5, "s1", &call, Observation::SetUp { description: format!("offer-{call}") }));
-            let status = Observation::SetUpEnded { status: 503, description: String::new() };
+            record.push(entry(
+                0.5,
+                "s1",
+                &call,
+                Observation::SetUpReceived { description: format!("offer-{call}") },
+            ));
+            let status = Observation::SetUpAnswered { status: 503, description: String::new() };
             record.push(entry(0.6, "s1", &call, status));
             let refused = Observation::Answered { status: 503, description: String::new() };
             record.push(entry(0.7, "c", &call, refused));
@@ -315,7 +320,7 @@
 
 #[test]
 fn calls_in_progress_during_a_stall_are_not_judged() {
-    let record_with_stall = |at| vec![requested(), entry(at, "trial", "", Observation::HeldUp(0.2))];
+    let record_with_stall = |at| vec![requested(), entry(at, "trial", "", Observation::Stalled(0.2))];
     assert_eq!(broken_rules(record_with_stall(1.0)), [""; 0]);
     assert_eq!(broken_rules(record_with_stall(30.0)), ["answer"]);
     let verdict = check_rules(&record_with_stall(1.0), &deployment_parameters());
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -193,7 +193,7 @@
             (_, Some("BYE")) => {
                 let cause = message.get("Reason").and_then(|r| r.rsplit_once('=')?.1.parse().ok());
                 state.established.borrow_mut().remove(&id);
-                record.add(name, proxy, &id, Observation::ReleaseHeard(cause.unwrap_or(0)));
+                record.add(name, proxy, &id, Observation::ReleaseReceived(cause.unwrap_or(0)));
                 let response = Message::response(200, "OK", &message.headers);
                 let _ = messages::send(&mut *writer.lock().await, &response).await;
             }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -136,7 +136,7 @@
         events.push((event, entries.to_vec()));
         for entry in entries {
             let (exchange, ready) = (entry.id.clone(), entry.lifecycle == Lifecycle::Ready);
-            self.record_event(Observation::Published { exchange, ready });
+            self.record_event(Observation::RosterPublished { exchange, ready });
         }
     }
 
@@ -159,14 +159,14 @@
     /// Resets the open connections and refuses new ones from now on.
     pub fn go_down(&self) {
         self.0.condition.set(Condition::Down);
-        self.record_event(Observation::Reachable(false));
+        self.record_event(Observation::DiscoveryReachable(false));
         self.0.listener.borrow_mut().take();
     }
 
     /// Accepts connections but sends nothing from now on.
     pub fn go_silent(&self) {
         self.0.condition.set(Condition::Silent);
-        self.record_event(Observation::Reachable(false));
+        self.record_event(Observation::DiscoveryReachable(false));
     }
 
     /// Ends [`Discovery::go_down`] and [`Discovery::go_silent`].
@@ -178,7 +178,7 @@
             self.accept();
         }
         self.0.condition.set(Condition::Working);
-        self.record_event(Observation::Reachable(true));
+        self.record_event(Observation::DiscoveryReachable(true));
         Ok(())
     }
 
@@ -238,7 +238,7 @@
                 last_write_at = now();
                 for entry in entries {
                     let ready = entry.lifecycle == Lifecycle::Ready;
-                    self.record_event(Observation::Told { exchange: entry.id, ready });
+                    self.record_event(Observation::RosterSent { exchange: entry.id, ready });
                 }
             }
             if now() - last_write_at >= HEARTBEAT_INTERVAL_S {
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -16,7 +16,7 @@
         match message.method() {
             Some("INVITE") => {
                 let description = String::from_utf8_lossy(&message.body).into_owned();
-                self.record_call_event(port_index, &id, Observation::SetUp { description });
+                self.record_call_event(port_index, &id, Observation::SetUpReceived { description });
                 self.0
                     .calls
                     .borrow_mut()
@@ -33,7 +33,7 @@
             Some("BYE") => {
                 self.record_call_event(port_index, &id, Observation::ReleasedByProxy);
                 if self.remove_call(&id).is_some_and(|call| call.established) {
-                    self.record_call_event(port_index, &id, Observation::Over);
+                    self.record_call_event(port_index, &id, Observation::CallEnded);
                 }
                 self.write(port_index, connection, &Message::response(200, "OK", &message.headers));
             }
@@ -70,14 +70,14 @@
         let description = format!("answer-{}-{id}", self.0.name);
         let mut answer = Message::response(200, "OK", &set_up.headers);
         answer.body = description.clone().into_bytes();
-        self.record_call_event(port_index, &id, Observation::SetUpEnded { status: 200, description });
+        self.record_call_event(port_index, &id, Observation::SetUpAnswered { status: 200, description });
         self.send_answer(port_index, connection, &answer);
         sleep(script.hold_ms as f64 / 1000.0).await;
         if self.0.generation.get() != generation {
             return;
         }
         let Some(call) = self.remove_call(&id) else { return };
-        self.record_call_event(port_index, &id, Observation::Over);
+        self.record_call_event(port_index, &id, Observation::CallEnded);
         self.send_release(call, &id);
     }
 
@@ -156,7 +156,8 @@
     /// Ends all calls and pending set-ups of a process that has ended.
     pub(super) fn cut_calls(&self) {
         for (id, call) in std::mem::take(&mut *self.0.calls.borrow_mut()) {
-            let observation = if call.established { Observation::Over } else { Observation::SetUpCancelled };
+            let observation =
+                if call.established { Observation::CallEnded } else { Observation::SetUpCancelled };
             self.record_call_event(call.port, &id, observation);
         }
         for port in &self.0.ports {
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -27,7 +27,7 @@
         description: String,
     },
     /// A caller read a release with this cause (Q.850).
-    ReleaseHeard(u32),
+    ReleaseReceived(u32),
     /// A caller wrote a release.
     HungUp,
     /// A caller's connection was established.
@@ -35,12 +35,12 @@
     /// A caller's connection was closed.
     CallerDisconnected,
     /// An exchange read a complete set-up.
-    SetUp {
+    SetUpReceived {
         /// Body of the set-up.
         description: String,
     },
     /// An exchange wrote its final answer to a set-up.
-    SetUpEnded {
+    SetUpAnswered {
         /// Status code of the answer.
         status: u16,
         /// Body of the answer.
@@ -49,7 +49,7 @@
     /// An exchange read a cancel of a set-up, or the connection of the set-up was closed.
     SetUpCancelled,
     /// An established call ended at its exchange.
-    Over,
+    CallEnded,
     /// An exchange wrote a release on a working connection.
     ReleaseSent,
     /// An exchange read a release sent by the proxy.
@@ -61,21 +61,21 @@
     /// An exchange started a new process, which is cold.
     StartedCold,
     /// Discovery has a new state of an exchange, whether or not it has sent it to a proxy.
-    Published {
+    RosterPublished {
         /// Name of the exchange.
         exchange: String,
         /// Whether the exchange is in service.
         ready: bool,
     },
     /// Discovery wrote a state of an exchange to the proxy.
-    Told {
+    RosterSent {
         /// Name of the exchange.
         exchange: String,
         /// Whether the exchange is in service.
         ready: bool,
     },
     /// Discovery became reachable and responsive (`true`) or stopped being so (`false`).
-    Reachable(bool),
+    DiscoveryReachable(bool),
     /// The proxy's process was started.
     ProxyStarted,
     /// The proxy answered an OPTIONS request successfully.
@@ -98,7 +98,7 @@
     },
     /// Within the last seconds, of which this is the number, the trial's own process or a proxy waited too long for a
     /// CPU.
-    HeldUp(f64),
+    Stalled(f64),
 }
 
 /// One entry of the record.
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -93,7 +93,7 @@
 
     /// When a call was released to its caller.
     pub fn released(&self, call: &str) -> Option<f64> {
-        self.record.first_seen(call, |observation| matches!(observation, Observation::ReleaseHeard(_)))
+        self.record.first_seen(call, |observation| matches!(observation, Observation::ReleaseReceived(_)))
     }
 
     /// Waits until all calls are released to their callers or the time is over; returns those that are not.
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -100,7 +100,7 @@
         let caller = scene.caller("c").await;
         let calls = ids(1, 1);
         scene.stand(&caller, 1, &calls, 12_000).await;
-        let ended = |observation: &Observation| *observation == Observation::Over;
+        let ended = |observation: &Observation| *observation == Observation::CallEnded;
         let until = now() + 13.0;
         while scene.record.first_seen(&calls[0], ended).is_none() && now() < until {
             sleep(0.01).await;
