--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,13 +1,14 @@
-//! What goes in and out of the decision module: settings, events, actions. Types only.
+//! The types that go into and come out of the decision module: settings, events, actions and tuning.
 
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A span of time in seconds.
+/// A span of time, in seconds.
 pub type Secs = f64;
 
-/// A point on the caller's clock, in seconds. The clock starts anywhere and only advances.
+/// A point in time on the clock of the embedding program, in seconds. The clock may start at any value and never
+/// goes back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Time(pub f64);
 
@@ -25,15 +26,16 @@
     }
 }
 
-/// The id of an office (an exchange's processor, or a pool). It tells nothing of place or age.
+/// The id of one running instance of an exchange, or of one pool of agents. The value is opaque: it gives neither
+/// the place nor the age of the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ExchangeId(pub u64);
 
-/// The number of an exchange or pool; an office that takes another's place keeps its number.
+/// The dialled number of an exchange or pool. An instance that replaces another one takes over its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ExchangeNumber(pub i64);
 
-/// The id of a call, given back unchanged.
+/// The id of a call, opaque to the decision module.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub String);
 
@@ -41,108 +43,109 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClassIndex(pub usize);
 
-/// A value chosen with [`Action::Timer`] and given back by [`Event::Timer`].
+/// A value that [`Action::Timer`] sets and [`Event::Timer`] returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TimerToken(pub u64);
 
-/// Where repeats of a guarded call are discarded.
+/// The exchanges among which repeated set-ups of one call are recognised and discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DuplicateScope {
-    /// At every office.
+    /// All exchanges.
     All,
-    /// At the offices of one zone.
+    /// The exchanges of one zone.
     Zone,
-    /// At the offices of one number.
+    /// The exchanges that share one number.
     Number,
 }
 
-/// What a repeated set-up may do.
+/// How exchanges treat a repeated set-up of the same call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatSemantics {
-    /// Repeats are harmless.
+    /// A repeat does no harm.
     Idempotent,
-    /// Repeats are discarded within a scope for a while.
+    /// A repeat is discarded within the scope, for [`Class::duplicate_window`].
     Deduplicated(DuplicateScope),
-    /// A set-up that may have run must not be repeated or refused.
+    /// A repeat would run again: once a set-up may have run, it must be neither repeated nor refused.
     AtMostOnce,
 }
 
 /// One class of calls.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Its name, for the adapter; no decision looks at it.
+    /// The name, for adapters; no decision depends on it.
     pub name: String,
-    /// The time within which a set-up earns the full worth.
+    /// The time within which a set-up earns its full worth.
     pub target: Secs,
-    /// How long a caller keeps trying, from the first try.
+    /// The time from the first attempt after which a caller gives up.
     pub give_up_after: Secs,
-    /// What a repeated set-up may do.
+    /// How exchanges treat a repeated set-up.
     pub repeat_semantics: RepeatSemantics,
-    /// How long repeats of a guarded call are discarded.
+    /// The time for which exchanges discard repeats of a [`RepeatSemantics::Deduplicated`] call.
     pub duplicate_window: Secs,
-    /// The worth of a call that stands.
+    /// The worth of an established call, in arbitrary units; classes are compared by it.
     pub worth: f64,
-    /// The share of the worth when set up after the aim.
+    /// The share of the worth that a set-up earns after the target, 0 to 1.
     pub late_worth_share: f64,
-    /// The circuits a call takes.
+    /// The number of circuits that a call occupies.
     pub width: u32,
-    /// The mean length of a call.
+    /// The mean holding time of a call.
     pub mean_holding_time: Secs,
-    /// With [`ServiceKind::AgentPools`]: the pools it may go to; empty for all.
+    /// With [`ServiceKind::AgentPools`]: the pools that may take the call; empty for all.
     pub pools: Vec<ExchangeNumber>,
 }
 
-/// The kind of service.
+/// The kind of service that the proxies provide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceKind {
     /// Exchanges joined by trunk groups.
     Network,
-    /// Pools of agents shared by all call servers.
+    /// Pools of agents that all proxies share.
     AgentPools,
 }
 
-/// How the list of offices arrives.
+/// How the roster arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Discovery {
-    /// Unprompted.
+    /// Discovery sends it without a request.
     Pushed,
-    /// Only after [`Action::Subscribe`] or [`Action::FetchRoster`].
+    /// Discovery sends it only after [`Action::Subscribe`] or [`Action::FetchRoster`].
     OnRequest,
 }
 
 /// How load reports arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadReporting {
-    /// With outcomes and probe results.
+    /// With the results of attempts and of probes.
     Piggybacked,
-    /// With probe results alone.
+    /// With the results of probes only.
     ProbesOnly,
     /// Never.
     Never,
 }
 
-/// What an instance is told at its start.
+/// The configuration of one decision module.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// The classes of call.
+    /// The classes of calls.
     pub classes: Vec<Class>,
-    /// The number of call servers.
+    /// The number of proxies in the fleet.
     pub proxies: u32,
-    /// The own exchange; `None` with [`ServiceKind::AgentPools`].
+    /// The exchange that this proxy serves; `None` with [`ServiceKind::AgentPools`].
     pub own_exchange: Option<ExchangeNumber>,
     /// The kind of service.
     pub service_kind: ServiceKind,
-    /// How the list of offices arrives.
+    /// How the roster arrives.
     pub discovery: Discovery,
     /// How load reports arrive.
     pub load_reporting: LoadReporting,
-    /// The pause before a call is sent again after a time-out, reset or cancel.
+    /// The pause before the next attempt of a call after a time-out, a reset or a cancel; the exchange releases the
+    /// old attempt in this time.
     pub release_pause: Secs,
-    /// When a waiting set-up is sent again by itself; 0 for never.
+    /// The time after which an unanswered set-up is retransmitted automatically; 0 for never.
     pub retransmit_after: Secs,
-    /// A full processor names a wait.
+    /// A full processor states how long to wait before the next set-up.
     pub retry_after_provided: bool,
-    /// Calls carry a centre's advice.
+    /// Calls carry the advice of a network management centre.
     pub centre_advises: bool,
     /// [`Action::Cancel`] is allowed.
     pub cancel_allowed: bool,
@@ -150,259 +153,264 @@
     pub probing_allowed: bool,
     /// [`Action::PeerMessage`] is allowed.
     pub peer_messages_allowed: bool,
-    /// Callers are given the `cool_down` of a refusal.
+    /// Callers receive the `cool_down` of [`Action::Refuse`].
     pub cool_down_allowed: bool,
-    /// The longest `cool_down` a caller heeds.
+    /// The longest `cool_down` that callers obey.
     pub max_cool_down: Secs,
-    /// The most attempts of one call.
+    /// The maximum number of attempts of one call.
     pub max_attempts: u32,
-    /// How long after the deadline a final answer still counts.
+    /// The time after the deadline of a call within which a final answer still counts.
     pub answer_slack: Secs,
-    /// With [`Discovery::OnRequest`]: the longest time without asking.
+    /// With [`Discovery::OnRequest`]: the longest time between two requests for the roster.
     pub poll_interval: Secs,
-    /// The grace for sends to a draining office.
+    /// The time for which set-ups may still reach an exchange that has started draining.
     pub drain_grace: Secs,
-    /// A cold office starts at this share of its capacity or above.
+    /// The share of its capacity that a cold exchange has at its start, at the least; 0 to 1.
     pub cold_share: f64,
-    /// It is warm after this time at the latest.
+    /// The time from its start after which an exchange is warm at the latest.
     pub warm_up_time: Secs,
-    /// Sent more than this multiple of its present capacity ...
+    /// A cold exchange collapses when it receives more than this multiple of its current capacity for
+    /// `collapse_time`.
     pub collapse_multiple: f64,
-    /// ... for this time, a cold office falls over.
+    /// The time for which a cold exchange withstands more than `collapse_multiple`.
     pub collapse_time: Secs,
-    /// The price of one probe a call.
+    /// The cost of one probe for each call.
     pub probe_cost: f64,
     /// The shortest time between two batches of events.
     pub tick: Secs,
 }
 
-/// What a report says of the trunk group and of the far processor; `None` where it says nothing.
+/// The load of a trunk group and of the processor at its far end. A field is `None` where the report does not
+/// contain it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Free circuits of the group (free agents of the pool).
+    /// Free circuits of the trunk group, or free agents of the pool.
     pub free_circuits: Option<f64>,
-    /// Size of the group.
+    /// Number of circuits of the trunk group, or of agents of the pool.
     pub group_size: Option<f64>,
-    /// Messages in work at the processor.
+    /// Messages that the processor is working on.
     pub active_messages: Option<f64>,
-    /// Messages waiting there.
+    /// Messages in the queue of the processor.
     pub queued_messages: Option<f64>,
-    /// Share of the processor that is busy.
+    /// Share of the processor that is busy, 0 to 1.
     pub utilization: Option<f64>,
-    /// Wait at the processor.
+    /// Time that a message waits in the queue of the processor.
     pub queueing_delay: Option<Secs>,
-    /// New set-ups a second that it can take from all senders.
+    /// New set-ups a second that the processor can take from all senders together.
     pub set_up_rate: Option<f64>,
-    /// Share of new set-ups it asks each sender to hold back.
+    /// Share of new set-ups that the processor asks each sender to withhold, 0 to 1.
     pub requested_reduction: Option<f64>,
 }
 
-/// The condition of an office on the list.
+/// The service state of an exchange on the roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceState {
     /// In service.
     InService,
-    /// Draining: nothing new goes there.
+    /// Draining: it takes no new calls.
     Draining,
-    /// Removed.
+    /// Removed from service.
     #[default]
     Removed,
 }
 
-/// One line of the list of offices.
+/// One entry of the roster.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// Its id.
+    /// The id of the exchange.
     pub id: ExchangeId,
-    /// The zone it is in.
+    /// The zone in which it runs.
     pub zone: String,
     /// Its number.
     pub number: ExchangeNumber,
-    /// Its condition.
+    /// Its service state.
     pub state: ServiceState,
-    /// A figure for comparison with other offices.
+    /// Its relative weight among the exchanges.
     pub weight: f64,
-    /// Its last start; `None` for long ago.
+    /// The time of its last start; `None` if that was long ago.
     pub ready_at: Option<Time>,
 }
 
-/// The kind of a list.
+/// What a roster message contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RosterKind {
     /// Changed entries only.
     Incremental,
-    /// The whole list.
+    /// The whole roster.
     Full,
-    /// The whole list as last held before a restart, possibly outdated.
+    /// The whole roster as stored before a restart; it may be outdated.
     Saved,
-    /// A request failed; the list held stays in force.
+    /// Nothing: a request for the roster failed, and the present roster stays in force.
     RequestFailed,
 }
 
-/// A call handed to this call server.
+/// A request for a call that this proxy has received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// The id of the call.
     pub id: CallId,
-    /// The time until this try is given up.
+    /// The time for which the caller waits for an answer to this request.
     pub ttl: Secs,
-    /// It comes from another call server and goes on to its destination or back.
+    /// A transit call: another proxy sent it, and it goes on to its destination or is turned back.
     pub transit: bool,
-    /// The tandem with most room at the centre's last look; in transit, the exchange of origin.
+    /// The tandem that the network management centre advises, which had most room at its last survey. For a
+    /// transit call: the exchange of origin.
     pub hop: Option<ExchangeNumber>,
-    /// It was cut and comes again.
+    /// The call was cut and its caller sets it up again.
     pub re_established: bool,
-    /// The circuits it takes.
+    /// The number of circuits that the call occupies.
     pub width: u32,
-    /// A repeat by the caller, where callers mark repeats.
+    /// A redial, where callers mark redials.
     pub redial: bool,
-    /// The destination (the pool of first choice).
+    /// The destination, or the pool of first choice.
     pub dest: ExchangeNumber,
-    /// Its class.
+    /// The class of the call.
     pub class: ClassIndex,
-    /// The number called.
+    /// The dialled number.
     pub number: Option<String>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The call has ended well.
+    /// The call was established and has ended normally.
     Completed,
-    /// All lines busy, or a fault in signalling.
+    /// All lines of the dialled number were busy, or signalling failed.
     Error,
-    /// Turned away before it was set up.
+    /// The set-up was refused before it ran.
     Refused,
-    /// No answer in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// No connection.
+    /// The connection to the exchange could not be opened.
     ConnectFailed,
-    /// Cut.
+    /// The connection broke, or the call was cut.
     Reset,
-    /// Called off.
+    /// The proxy cancelled the attempt.
     Cancelled,
-    /// Not sent.
+    /// The set-up was never sent.
     NotSent,
 }
 
-/// Why an attempt was turned away.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cause {
-    /// Nothing was said.
+    /// The exchange gave no cause.
     Unspecified,
-    /// No circuit or agent.
+    /// No circuit or agent is free.
     NoCircuit,
-    /// Turned back by the tandem.
+    /// The tandem turned the call back.
     Crankback,
-    /// Turned back by the tandem since the processor beyond was full.
+    /// The tandem turned the call back because the processor of the destination was full.
     FarProcessorFull,
-    /// The processor was full (not sent: the own one is down).
+    /// The processor of the exchange was full. With [`Outcome::NotSent`]: the own processor is down.
     ProcessorFull,
-    /// All lines of the number are busy.
+    /// All lines of the dialled number are busy.
     LinesBusy,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The call.
+    /// The id of the call.
     pub id: CallId,
-    /// The number of the attempt.
+    /// The number of the attempt, from 0.
     pub leg: u32,
-    /// The office it went to.
+    /// The exchange that received the set-up.
     pub exchange: ExchangeId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time since the set-up was sent.
     pub elapsed: Secs,
-    /// Why it was turned away.
+    /// Why it failed.
     pub cause: Cause,
-    /// The wait named by a full processor.
+    /// The wait that a full processor asked for.
     pub retry_after: Option<Secs>,
-    /// The call is concluded.
+    /// The call is over; no further attempt follows.
     pub concluded: bool,
-    /// The report that came along.
+    /// The load report that came with the result.
     pub report: LoadReport,
 }
 
-/// What an instance sees.
+/// An input of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the offices.
+    /// A roster message, or the failure of a request for one.
     Roster {
-        /// The kind of list.
+        /// What the message contains.
         kind: RosterKind,
-        /// Its entries.
+        /// The entries.
         entries: Vec<RosterEntry>,
     },
-    /// A call.
+    /// A request for a call.
     Arrival(Arrival),
-    /// The end of an attempt.
+    /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// The call stands.
+    /// The call is established.
     Established {
-        /// The call.
+        /// The id of the call.
         id: CallId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0.
         leg: u32,
-        /// The office it went to.
+        /// The exchange that received the set-up.
         exchange: ExchangeId,
-        /// The time since it was sent.
+        /// The time since the set-up was sent.
         elapsed: Secs,
     },
-    /// The caller has left, or the final answer is overdue.
+    /// The caller has given up, or the final answer is overdue.
     Withdrawn(CallId),
-    /// A timer has fallen due.
+    /// A timer has expired.
     Timer(TimerToken),
-    /// A probe's result, or (unasked) a change of the free circuits toward an office.
+    /// The result of a probe, or an unsolicited load report after a change of the free circuits to an exchange.
     Status {
-        /// The office.
+        /// The exchange.
         exchange: ExchangeId,
-        /// It answered.
+        /// The exchange answered.
         ok: bool,
-        /// The time since the probe; 0 where unasked.
+        /// The time since the probe; 0 for an unsolicited report.
         elapsed: Secs,
-        /// What it says.
+        /// The load report.
         report: LoadReport,
     },
-    /// The state of the trunk group and of the processor of an office is not told any longer: what was is old.
+    /// No more load reports arrive from this exchange, and the last one is out of date.
     StatusLost(ExchangeId),
-    /// A message from another call server.
+    /// A message from another proxy.
     PeerMessage {
         /// The sender.
         from: u32,
-        /// What it says.
+        /// The text.
         text: String,
     },
 }
 
-/// Why the module turned a request away.
+/// Why the decision module refused a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is for the own exchange, or of an unknown class.
+    /// The destination is the own exchange, or the class is unknown.
     Unroutable,
-    /// No exchange of its number is in service.
+    /// No exchange with the number of the destination is in service.
     NotInService,
-    /// The number called is gapped.
+    /// The dialled number is gapped.
     Gapped,
     /// The own processor is overloaded.
     OwnOverload,
-    /// The far processor is overloaded.
+    /// The processor of the destination is overloaded.
     FarOverload,
-    /// The far exchange is paused, silent, or cold and has had its share.
+    /// The destination takes no set-up now: sends to it are paused, it does not answer, or it is cold and this
+    /// proxy has used its share.
     FarUnavailable,
-    /// The own processor is cold and has had its share.
+    /// The own exchange is cold and this proxy has used its share of the set-ups.
     OwnCold,
-    /// No route has room.
+    /// No usable route has a free circuit.
     NoRoute,
-    /// No attempt is left, or none could still be useful.
+    /// The call has used all its attempts, or no further one could succeed in time.
     Exhausted,
-    /// What the last attempt met leaves nothing to try: lines or processors are busy.
+    /// After the result of the last attempt no other route can help: the lines of the number or a processor are
+    /// busy.
     Busy,
 }
 
 impl Refusal {
-    /// Its name in logs and counters.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::Unroutable => "no way",
@@ -419,111 +427,129 @@
     }
 }
 
-/// What an instance does.
+/// An output of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a set-up.
     Attempt {
-        /// The call.
+        /// The id of the call.
         id: CallId,
-        /// Where it goes.
+        /// The exchange to send it to.
         exchange: ExchangeId,
-        /// When it is given up.
+        /// The time at which the attempt is abandoned.
         abandon_at: Time,
     },
-    /// Final answer: turned away.
+    /// Give the final answer: the call is refused.
     Refuse {
-        /// The call.
+        /// The id of the call.
         id: CallId,
-        /// How long the caller ought to stay away.
+        /// The time that the caller is asked to wait before it redials.
         cool_down: Option<Secs>,
-        /// Why, for the log and the counters.
+        /// The reason, for logs and metrics.
         reason: Refusal,
     },
-    /// Final answer: given up.
+    /// Give the final answer: the call has failed.
     Fail(CallId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The call.
+        /// The id of the call.
         id: CallId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0.
         leg: u32,
     },
-    /// Ask for a timer.
+    /// Start a timer.
     Timer {
-        /// From now.
+        /// The time from now until it expires.
         after: Secs,
-        /// Given back when due.
+        /// The value that [`Event::Timer`] returns.
         token: TimerToken,
     },
-    /// Check an office.
+    /// Probe an exchange.
     Probe(ExchangeId),
-    /// Send a message to one call server, or to all.
+    /// Send a message to one proxy or to all.
     PeerMessage {
-        /// To whom; `None` for all.
+        /// The receiver; `None` for all.
         to: Option<u32>,
-        /// What it says, 256 bytes at most.
+        /// The text, at most 256 bytes.
         text: String,
     },
-    /// Ask for changes of the list from now on.
+    /// Subscribe to changes of the roster.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Request the whole roster once.
     FetchRoster,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// Thresholds, pauses and weights of [`crate::Controller`], all relative to the settings; their values are in `src/logic.rs`, and scenarios of the
-/// lab may name others. An aim is the shortest `target` of the classes.
+/// Thresholds, pauses and weights of [`crate::Controller`]. `src/logic.rs` sets the defaults; simulation scenarios
+/// and candidates can override them.
+///
+/// Fields whose names contain `aims` or `onset` count in multiples of the shortest `target` of the classes, so that
+/// one set of values fits slow and fast services. "Onset 1" is the onset threshold of overload level 1, as a wait at
+/// the processor; the onset doubles with each further level.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Onset of level 1 in set-ups waiting, as the paper counts depth (3.3); each further level doubles.
+    /// Onset 1 as a queue length in set-ups, measured like the depth in section 3.3 of the paper whose procedure
+    /// `crates/lab/src/study/paper.rs` implements.
     pub depth: f64,
-    /// The same onset in aims: at least ...
+    /// Lower bound of onset 1, in multiples of the shortest target.
     pub onset_min: f64,
-    /// ... and at most.
+    /// Upper bound of onset 1, in multiples of the shortest target.
     pub onset_max: f64,
-    /// A level is left below this share of its onset. Over a half, so abate1 < onset1 < abate2 < ...
+    /// Abatement threshold of each level, as a share of its onset. It exceeds 0.5, so that the abatement threshold
+    /// of a level lies above the onset of the level below.
     pub abate: f64,
-    /// Share of normal first set-ups refused at levels 0 to 4; urgent ones are refused at level 4 only.
+    /// Share of normal first set-ups that levels 0 to 4 refuse, 0 to 1. Urgent set-ups are refused at level 4 only.
     pub refused: [f64; 5],
-    /// Aims without news after which the own level drops a step: it has news of every call.
+    /// Time without a new observation after which the overload level of the own processor drops by one, in
+    /// multiples of the shortest target. Every call of this proxy is an observation.
     pub quiet_aims: f64,
-    /// The same for a far level, which in a large fleet has news only every few seconds.
+    /// The same for the processor of another exchange; in a large fleet this proxy observes it only every few
+    /// seconds.
     pub far_quiet_aims: f64,
-    /// Share of our unanswered set-ups that is taken to wait at the own processor.
-    pub own_part: f64,
-    /// Where probes are allowed the own processor is asked once in this many aims at most.
+    /// Share of this proxy's unanswered set-ups that is assumed to wait at the own processor, 0 to 1.
+    #[serde(rename = "own_part")]
+    pub own_processor_share: f64,
+    /// Shortest time between two probes of the own processor where probes are allowed, in multiples of the
+    /// shortest target.
     pub probe_aims: f64,
-    /// A failed probe counts as this many onsets of wait: the processor had no time for the least of work.
+    /// Wait that a failed probe stands for, in multiples of onset 1: the processor had no time even for a trivial
+    /// message.
     pub probe_failed: f64,
-    /// Samples and reports count for this many aims.
+    /// Time for which measured delays and load reports count, in multiples of the shortest target.
     pub fresh_aims: f64,
-    /// The traffic here is a mean over this many seconds.
+    /// Time constant of the running mean of the call rate at this proxy, in seconds.
     pub traffic_span: Secs,
-    /// A number whose lines stay busy is gapped for this many aims at most.
+    /// Longest gap for a number whose lines stay busy, in multiples of the shortest target.
     pub gap_aims: f64,
-    /// A refused caller is asked to stay away for this many aims: long enough for a level to drop, and a first
-    /// redial is still in time.
+    /// Cool-down of a refused caller, in multiples of the shortest target: long enough for a level to drop, and
+    /// short enough for a first redial to arrive in time.
     pub cool_down_aims: f64,
-    /// After a full processor sends to it pause for these seconds; the answer is older than its relief.
+    /// Pause of sends to an exchange after it reported a full processor, in seconds. That answer is older than the
+    /// end of the overload.
     pub full_pause: Secs,
-    /// The same after any set-up that an exchange turned away.
+    /// Pause of sends to an exchange after it refused a set-up for any cause, in seconds.
     pub refused_pause: Secs,
-    /// Lowest weight of a tandem: most have no way on, and the more there are the less is known of each.
-    pub floor: f64,
-    /// Share of the gap to 1 that a tandem's weight wins on success.
-    pub raise: f64,
-    /// Factor of a tandem's weight on turn-back.
-    pub lower: f64,
-    /// Factor of the advised tandem's weight, for each other one.
-    pub advised: f64,
-    /// Circuits kept back from transit and alternative calls, times the square root of the group.
+    /// Lowest weight of a tandem, 0 to 1. Most tandems have no free circuit to the destination, and the more
+    /// tandems there are, the less is known of each.
+    #[serde(rename = "floor")]
+    pub min_tandem_weight: f64,
+    /// Share of the difference to 1 that the weight of a tandem gains on success, 0 to 1.
+    #[serde(rename = "raise")]
+    pub tandem_weight_gain: f64,
+    /// Factor that reduces the weight of a tandem on crankback or silence, 0 to 1.
+    #[serde(rename = "lower")]
+    pub tandem_weight_loss_factor: f64,
+    /// Factor of the weight of the advised tandem, multiplied by the number of candidates.
+    #[serde(rename = "advised")]
+    pub advised_tandem_factor: f64,
+    /// Trunk reservation: circuits that transit calls, redials and calls over a tandem leave free, as a multiple of
+    /// the square root of the group size.
     pub reserve: f64,
-    /// The part of a group that they are at most: thin groups have none to spare.
+    /// Upper bound of the trunk reservation, as a share of the group size: thin groups have no circuits to spare.
     pub most_reserved: f64,
-    /// Most routes tried for one call.
+    /// Maximum number of attempts of one call.
     pub most_tries: u32,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -17,7 +17,7 @@
             refused: [0.0, 0.2, 0.8, 1.0, 1.0],
             quiet_aims: 1.0,
             far_quiet_aims: 4.0,
-            own_part: 0.5,
+            own_processor_share: 0.5,
             probe_aims: 0.5,
             probe_failed: 2.0,
             fresh_aims: 3.0,
@@ -26,10 +26,10 @@
             cool_down_aims: 0.3,
             full_pause: 0.2,
             refused_pause: 0.0,
-            floor: 0.05,
-            raise: 0.2,
-            lower: 0.5,
-            advised: 3.0,
+            min_tandem_weight: 0.05,
+            tandem_weight_gain: 0.2,
+            tandem_weight_loss_factor: 0.5,
+            advised_tandem_factor: 3.0,
             reserve: 0.5,
             most_reserved: 0.1,
             most_tries: 3,
@@ -40,7 +40,7 @@
 /// Slowest set-up rate taken at its word, against divisions by nothing.
 const MIN_RATE: f64 = 1e-3;
 /// How many ends of set-ups in a row tell of the own processor: that many far ends are rarely slow at once.
-const ENDS: usize = 6;
+const OWN_WAIT_SAMPLES: usize = 6;
 /// First tries bring the same time to live to within one slot of this length.
 const TTL_SLOT: Secs = 0.05;
 
@@ -48,7 +48,7 @@
 
 /// How a first set-up is treated under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Rank {
+enum Priority {
     Urgent,
     Normal,
     /// A caller's repeat mostly stands late: any level refuses it before a first try is.
@@ -59,8 +59,8 @@
 #[derive(Clone, Debug, Default)]
 struct Overload {
     level: usize,
-    news_at: Time,
-    debt: f64,
+    observed_at: Time,
+    refusal_accumulator: f64,
 }
 
 impl Overload {
@@ -72,35 +72,35 @@
         while self.level > 0 && wait < abate * onset_of(self.level - 1) {
             self.level -= 1;
         }
-        self.news_at = now;
+        self.observed_at = now;
     }
 
     /// 'Processor full' passes the next onset whatever the estimate says.
     fn raise(&mut self, now: Time) {
         self.level = (self.level + 1).min(4);
-        self.news_at = now;
+        self.observed_at = now;
     }
 
-    fn decay(&mut self, step: Secs, now: Time) {
-        while self.level > 0 && step > 0.0 && now - self.news_at > step {
+    fn decay(&mut self, interval: Secs, now: Time) {
+        while self.level > 0 && interval > 0.0 && now - self.observed_at > interval {
             self.level -= 1;
-            self.news_at = self.news_at + step;
+            self.observed_at = self.observed_at + interval;
         }
     }
 
     /// Refusals are spread evenly: each normal call adds its share to a debt that one refusal pays.
-    fn refuses(&mut self, rank: Rank, shares: &[f64; 5]) -> bool {
+    fn refuses(&mut self, priority: Priority, shares: &[f64; 5]) -> bool {
         let share = shares[self.level];
-        match (rank, self.level) {
+        match (priority, self.level) {
             (_, 4) if share > 0.0 => return true,
-            (Rank::Urgent, _) => return false,
-            (Rank::Redial, 1..) if share > 0.0 => return true,
+            (Priority::Urgent, _) => return false,
+            (Priority::Redial, 1..) if share > 0.0 => return true,
             _ => {}
         }
-        self.debt += share;
-        let refuse = self.debt >= 1.0 - 1e-9;
+        self.refusal_accumulator += share;
+        let refuse = self.refusal_accumulator >= 1.0 - 1e-9;
         if refuse {
-            self.debt -= 1.0;
+            self.refusal_accumulator -= 1.0;
         }
         refuse
     }
@@ -110,92 +110,95 @@
 
 /// What is known of one office: its list entry, the trunk group to it, its processor.
 #[derive(Clone, Debug, Default)]
-struct Far {
-    office: RosterEntry,
-    free: Option<f64>,
-    size: Option<f64>,
+struct ExchangeState {
+    entry: RosterEntry,
+    free_circuits: Option<f64>,
+    group_size: Option<f64>,
     overload: Overload,
-    delay: Option<(Secs, Time)>,
+    delay_sample: Option<(Secs, Time)>,
     /// The quickest set-up there: distance and work, which are no wait.
-    base: Option<Secs>,
-    reported: Option<(Secs, Time)>,
-    rate: Option<f64>,
-    best_rate: f64,
+    min_delay: Option<Secs>,
+    reported_wait: Option<(Secs, Time)>,
+    set_up_rate: Option<f64>,
+    max_set_up_rate: f64,
     /// A sample or report has come since the level last looked at them.
-    news: bool,
+    has_new_sample: bool,
     /// Unanswered set-ups, when they were sent, and whether they end there.
-    pending: Vec<(CallId, Time, bool)>,
+    unanswered: Vec<(CallId, Time, bool)>,
     /// The latest sending that ended there and stands: a line goes in its order, so what was sent there
     /// before and has no answer is lost and tells of no wait.
-    heard: Time,
+    last_answered_sent_at: Time,
     silent_since: Option<Time>,
     paused_until: Time,
     /// Set-ups that may still go there while it is cold, and when that was so.
     cold_credit: f64,
-    cold_at: Time,
+    cold_credit_at: Time,
 }
 
-impl Far {
-    fn new(office: RosterEntry, now: Time) -> Self {
-        let overload = Overload { news_at: now, ..Overload::default() };
-        Far { office, overload, paused_until: now, cold_at: now, ..Far::default() }
+impl ExchangeState {
+    fn new(entry: RosterEntry, now: Time) -> Self {
+        let overload = Overload { observed_at: now, ..Overload::default() };
+        ExchangeState { entry, overload, paused_until: now, cold_credit_at: now, ..ExchangeState::default() }
     }
 
-    fn is_on(&self) -> bool {
-        self.office.state == ServiceState::InService
+    fn in_service(&self) -> bool {
+        self.entry.state == ServiceState::InService
     }
 
     /// Set-ups out that nothing sent later has overtaken.
-    fn waiting(&self) -> impl Iterator<Item = Time> + '_ {
-        let here = |(_, sent, direct): &&(CallId, Time, bool)| !direct || *sent >= self.heard;
-        self.pending.iter().filter(here).map(|(_, sent, _)| *sent)
+    fn awaiting_answer(&self) -> impl Iterator<Item = Time> + '_ {
+        let not_overtaken =
+            |(_, sent_at, direct): &&(CallId, Time, bool)| !direct || *sent_at >= self.last_answered_sent_at;
+        self.unanswered.iter().filter(not_overtaken).map(|(_, sent_at, _)| *sent_at)
     }
 
     /// Takes a set-up off the unanswered ones; returns whether it had been overtaken.
-    fn settle(&mut self, id: &CallId, stands: bool) -> bool {
-        let Some(ix) = self.pending.iter().position(|(c, ..)| c == id) else { return false };
-        let (_, sent, direct) = self.pending.remove(ix);
-        let overtaken = direct && sent < self.heard;
-        if stands && direct && !overtaken {
-            self.heard = sent;
+    fn remove_unanswered(&mut self, id: &CallId, established: bool) -> bool {
+        let Some(index) = self.unanswered.iter().position(|(call_id, ..)| call_id == id) else {
+            return false;
+        };
+        let (_, sent_at, direct) = self.unanswered.remove(index);
+        let overtaken = direct && sent_at < self.last_answered_sent_at;
+        if established && direct && !overtaken {
+            self.last_answered_sent_at = sent_at;
         }
         overtaken
     }
 
-    fn oldest(&self, watch: Time) -> Secs {
-        self.waiting().map(|sent| watch - sent).fold(0.0, f64::max)
+    fn oldest_age(&self, active_clock: Time) -> Secs {
+        self.awaiting_answer().map(|sent_at| active_clock - sent_at).fold(0.0, f64::max)
     }
 
-    fn learn(&mut self, report: &LoadReport, now: Time, onset: Secs) {
-        self.free = report.free_circuits.or(self.free);
-        self.size = report.group_size.or(self.size);
-        self.rate = report.set_up_rate.or(self.rate);
-        self.best_rate = self.best_rate.max(report.set_up_rate.unwrap_or(0.0));
-        let queued = match (report.queued_messages, report.set_up_rate) {
-            (Some(queue), Some(rate)) => Some(queue / rate.max(MIN_RATE)),
+    fn apply_report(&mut self, report: &LoadReport, now: Time, onset: Secs) {
+        self.free_circuits = report.free_circuits.or(self.free_circuits);
+        self.group_size = report.group_size.or(self.group_size);
+        self.set_up_rate = report.set_up_rate.or(self.set_up_rate);
+        self.max_set_up_rate = self.max_set_up_rate.max(report.set_up_rate.unwrap_or(0.0));
+        let queue_wait = match (report.queued_messages, report.set_up_rate) {
+            (Some(messages), Some(rate)) => Some(messages / rate.max(MIN_RATE)),
             // No queue is reported: a processor at half of its best rate takes an onset longer, and so on.
-            (None, Some(rate)) => Some((self.best_rate / rate.max(MIN_RATE) - 1.0) * onset),
+            (None, Some(rate)) => Some((self.max_set_up_rate / rate.max(MIN_RATE) - 1.0) * onset),
             _ => None,
         };
-        if let Some(wait) = report.queueing_delay.or(queued) {
+        if let Some(wait) = report.queueing_delay.or(queue_wait) {
             // A report that stops moving is old: it keeps the time at which it last changed.
-            if self.reported.is_none_or(|(old, _)| old != wait) {
-                self.reported = Some((wait, now));
-                self.news = true;
+            if self.reported_wait.is_none_or(|(old, _)| old != wait) {
+                self.reported_wait = Some((wait, now));
+                self.has_new_sample = true;
             }
         }
     }
 
     /// How much longer than ever before our set-ups take here, or the oldest unanswered one is out: silence
     /// is wait.
-    fn seen_wait(&self, now: Time, watch: Time, fresh: Secs) -> Option<Secs> {
-        let sample = self.delay.filter(|(_, at)| now - *at <= fresh).map(|(d, _)| d);
-        let longest = self.oldest(watch).max(sample.unwrap_or(0.0));
-        (longest > 0.0 || sample.is_some()).then(|| (longest - self.base.unwrap_or(0.0)).max(0.0))
+    fn measured_wait(&self, now: Time, active_clock: Time, lifetime: Secs) -> Option<Secs> {
+        let sample = self.delay_sample.filter(|(_, at)| now - *at <= lifetime).map(|(delay, _)| delay);
+        let longest = self.oldest_age(active_clock).max(sample.unwrap_or(0.0));
+        (longest > 0.0 || sample.is_some()).then(|| (longest - self.min_delay.unwrap_or(0.0)).max(0.0))
     }
 
-    fn fresh_report(&self, now: Time, fresh: Secs) -> Option<Secs> {
-        self.reported.filter(|(_, at)| now - *at <= fresh).map(|(w, _)| w)
+    fn recent_reported_wait(&self, now: Time, lifetime: Secs) -> Option<Secs> {
+        self.reported_wait.filter(|(_, at)| now - *at <= lifetime).map(|(wait, _)| wait)
     }
 }
 
@@ -204,24 +207,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     /// No attempt is out; sent again no earlier than the release allows.
-    Held,
-    Out {
-        office: ExchangeId,
+    BetweenAttempts,
+    Attempting {
+        exchange_id: ExchangeId,
         leg: u32,
-        sent: Time,
+        sent_at: Time,
     },
-    Standing,
+    Established,
 }
 
 #[derive(Clone, Debug)]
 struct Call {
     arrival: Arrival,
-    arrived: Time,
+    arrived_at: Time,
     deadline: Time,
     attempts: u32,
     stage: Stage,
     not_before: Time,
-    tried: Vec<ExchangeId>,
+    tried_exchanges: Vec<ExchangeId>,
     /// The first attempt that may have run: where and when.
     may_have_run: Option<(ExchangeId, Time)>,
 }
@@ -232,32 +235,32 @@
     settings: Settings,
     tuning: Tuning,
     rng: fastrand::Rng,
-    aim: Secs,
-    fars: BTreeMap<ExchangeId, Far>,
+    shortest_target: Secs,
+    exchanges: BTreeMap<ExchangeId, ExchangeState>,
     /// The office in service under each number; the youngest where a replacement overlaps the old one.
-    serving: BTreeMap<ExchangeNumber, ExchangeId>,
-    own: Overload,
+    in_service_by_number: BTreeMap<ExchangeNumber, ExchangeId>,
+    own_overload: Overload,
     /// The last few ends of set-ups: how much longer than the quickest they took, and when they came.
-    ends: VecDeque<(Secs, Time)>,
-    own_news: bool,
+    own_wait_samples: VecDeque<(Secs, Time)>,
+    own_has_new_sample: bool,
     calls: BTreeMap<CallId, Call>,
     timers: BTreeMap<TimerToken, Option<CallId>>,
     next_token: u64,
-    weights: BTreeMap<(ExchangeNumber, ExchangeNumber), f64>,
+    tandem_weights: BTreeMap<(ExchangeNumber, ExchangeNumber), f64>,
     /// Call gapping of numbers whose lines were all busy: until when, and how long.
     gaps: BTreeMap<String, (Time, Secs)>,
     /// When the first try to a number was refused here, for as long as its callers may still be in time.
-    turned_away: BTreeMap<String, Time>,
+    first_refusals: BTreeMap<String, Time>,
     /// How often each length of a try was seen, by class and in twentieths of a second.
-    tries: BTreeMap<(ClassIndex, i64), u32>,
+    ttl_counts: BTreeMap<(ClassIndex, i64), u32>,
     /// Arrivals a second here, a running mean, for the size of a processor.
-    offered: f64,
+    offered_rate: f64,
     /// The quickest direct set-up seen.
-    quickest: Secs,
-    last_arrival: Time,
+    min_set_up_delay: Secs,
+    last_arrival_at: Time,
     /// The last event, and a clock that stands still while this call server does: ages are read on it.
-    last_event: Time,
-    watch: Time,
+    last_event_at: Time,
+    active_clock: Time,
     /// When the own processor was last asked for a report.
     probed_at: Time,
 }
@@ -270,28 +273,28 @@
 
     /// The same with other tuned values.
     pub fn tuned(settings: Settings, tuning: Tuning, seed: u64) -> Self {
-        let aims = settings.classes.iter().map(|c| c.target).filter(|a| *a > 0.0);
-        let aim = aims.fold(f64::INFINITY, f64::min);
+        let targets = settings.classes.iter().map(|class| class.target).filter(|target| *target > 0.0);
+        let shortest_target = targets.fold(f64::INFINITY, f64::min);
         Controller {
             rng: fastrand::Rng::with_seed(seed),
-            aim: if aim.is_finite() { aim } else { 1.0 },
-            fars: BTreeMap::new(),
-            serving: BTreeMap::new(),
-            own: Overload::default(),
-            ends: VecDeque::new(),
-            own_news: false,
+            shortest_target: if shortest_target.is_finite() { shortest_target } else { 1.0 },
+            exchanges: BTreeMap::new(),
+            in_service_by_number: BTreeMap::new(),
+            own_overload: Overload::default(),
+            own_wait_samples: VecDeque::new(),
+            own_has_new_sample: false,
             calls: BTreeMap::new(),
             timers: BTreeMap::new(),
             next_token: 0,
-            weights: BTreeMap::new(),
+            tandem_weights: BTreeMap::new(),
             gaps: BTreeMap::new(),
-            turned_away: BTreeMap::new(),
-            tries: BTreeMap::new(),
-            offered: 0.0,
-            quickest: f64::INFINITY,
-            last_arrival: Time::default(),
-            last_event: Time::default(),
-            watch: Time::default(),
+            first_refusals: BTreeMap::new(),
+            ttl_counts: BTreeMap::new(),
+            offered_rate: 0.0,
+            min_set_up_delay: f64::INFINITY,
+            last_arrival_at: Time::default(),
+            last_event_at: Time::default(),
+            active_clock: Time::default(),
             probed_at: Time(f64::NEG_INFINITY),
             settings,
             tuning,
@@ -299,32 +302,35 @@
     }
 
     /// Called once, before any event.
-    pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.own.news_at = now;
-        (self.last_arrival, self.last_event, self.watch) = (now, now, now);
+    pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.own_overload.observed_at = now;
+        (self.last_arrival_at, self.last_event_at, self.active_clock) = (now, now, now);
         if self.settings.discovery == Discovery::OnRequest {
-            out.push(Action::Subscribe);
+            actions.push(Action::Subscribe);
         }
     }
 
     /// Takes one event and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         // After a stall of this call server much comes at once: its age is not the processors' wait.
-        self.watch = self.watch + (now - self.last_event).clamp(0.0, self.tuning.onset_max * self.aim);
-        self.last_event = now;
+        self.active_clock = self.active_clock
+            + (now - self.last_event_at).clamp(0.0, self.tuning.onset_max * self.shortest_target);
+        self.last_event_at = now;
         match event {
-            Event::Roster { kind, entries: offices } => self.on_list(now, kind, offices, out),
-            Event::Arrival(arrival) => self.on_arrival(now, arrival, out),
-            Event::AttemptEnded(answer) => self.on_answer(now, answer, out),
-            Event::Established { id, leg, exchange: office, elapsed: took } => {
-                self.on_stands(now, &id, leg, office, took)
+            Event::Roster { kind, entries } => self.on_roster(now, kind, entries, actions),
+            Event::Arrival(arrival) => self.on_arrival(now, arrival, actions),
+            Event::AttemptEnded(result) => self.on_attempt_ended(now, result, actions),
+            Event::Established { id, leg, exchange: exchange_id, elapsed } => {
+                self.on_established(now, &id, leg, exchange_id, elapsed)
+            }
+            Event::Withdrawn(id) => self.remove_call(&id),
+            Event::Timer(token) => self.on_timer(now, token, actions),
+            Event::Status { exchange: exchange_id, ok, report, .. } => {
+                self.on_status(now, exchange_id, ok, &report)
             }
-            Event::Withdrawn(id) => self.forget(&id),
-            Event::Timer(token) => self.on_timer(now, token, out),
-            Event::Status { exchange: office, ok, report, .. } => self.on_status(now, office, ok, &report),
-            Event::StatusLost(office) => {
-                if let Some(far) = self.fars.get_mut(&office) {
-                    (far.free, far.reported) = (None, None);
+            Event::StatusLost(exchange_id) => {
+                if let Some(exchange) = self.exchanges.get_mut(&exchange_id) {
+                    (exchange.free_circuits, exchange.reported_wait) = (None, None);
                 }
             }
             Event::PeerMessage { .. } => {}
@@ -333,116 +339,131 @@
 
     /// The level of the own processor, and those of far ones in service.
     pub fn levels(&self) -> (usize, Vec<(ExchangeNumber, usize)>) {
-        let far =
-            |(no, id): (&ExchangeNumber, &ExchangeId)| self.fars.get(id).map(|f| (*no, f.overload.level));
-        (self.own.level, self.serving.iter().filter_map(far).collect())
+        let far_level = |(number, id): (&ExchangeNumber, &ExchangeId)| {
+            self.exchanges.get(id).map(|exchange| (*number, exchange.overload.level))
+        };
+        (self.own_overload.level, self.in_service_by_number.iter().filter_map(far_level).collect())
     }
 
     // ---- Guards: the list, drains, cold starts, release ----------------------------------------
 
-    fn on_list(&mut self, now: Time, kind: RosterKind, offices: Vec<RosterEntry>, out: &mut Vec<Action>) {
+    fn on_roster(
+        &mut self,
+        now: Time,
+        kind: RosterKind,
+        entries: Vec<RosterEntry>,
+        actions: &mut Vec<Action>,
+    ) {
         if kind == RosterKind::RequestFailed {
             if self.settings.discovery == Discovery::OnRequest {
-                self.timer(self.settings.poll_interval / 4.0, None, out);
+                self.start_timer(self.settings.poll_interval / 4.0, None, actions);
             }
             return;
         }
         if kind != RosterKind::Incremental {
-            for far in self.fars.values_mut() {
-                if !offices.iter().any(|o| o.id == far.office.id) {
-                    far.office.state = ServiceState::Removed;
+            for exchange in self.exchanges.values_mut() {
+                if !entries.iter().any(|entry| entry.id == exchange.entry.id) {
+                    exchange.entry.state = ServiceState::Removed;
                 }
             }
         }
-        for office in offices {
-            let old = self.serving.get(&office.number).and_then(|id| self.fars.get(id));
-            let mut fresh = Far::new(office, now);
-            if let Some(old) = self.fars.get(&fresh.office.id).or(old) {
-                if old.office.id == fresh.office.id && old.office.ready_at == fresh.office.ready_at {
-                    self.fars.entry(fresh.office.id).and_modify(|far| far.office = fresh.office);
+        for entry in entries {
+            let old = self.in_service_by_number.get(&entry.number).and_then(|id| self.exchanges.get(id));
+            let mut new = ExchangeState::new(entry, now);
+            if let Some(old) = self.exchanges.get(&new.entry.id).or(old) {
+                if old.entry.id == new.entry.id && old.entry.ready_at == new.entry.ready_at {
+                    self.exchanges.entry(new.entry.id).and_modify(|exchange| exchange.entry = new.entry);
                     continue;
                 }
                 // A new start: the group is the same, but the old processor's wait says nothing of this one.
-                (fresh.free, fresh.size, fresh.best_rate) = (old.free, old.size, old.best_rate);
-                if old.office.id == fresh.office.id {
-                    fresh.pending = old.pending.clone();
+                (new.free_circuits, new.group_size, new.max_set_up_rate) =
+                    (old.free_circuits, old.group_size, old.max_set_up_rate);
+                if old.entry.id == new.entry.id {
+                    new.unanswered = old.unanswered.clone();
                 }
             }
-            let share = self.cold_share(&fresh);
-            fresh.cold_credit = if share < 1.0 { self.rng.f64() } else { share };
-            self.fars.insert(fresh.office.id, fresh);
-        }
-        let age = |far: &Far| far.office.ready_at.map_or(f64::NEG_INFINITY, |at| at.0);
-        self.serving.clear();
-        for far in self.fars.values().filter(|f| f.is_on()) {
-            let best = self.serving.entry(far.office.number).or_insert(far.office.id);
-            if self.fars.get(best).is_some_and(|old| age(old) <= age(far)) {
-                *best = far.office.id;
+            let allowance = self.cold_allowance(&new);
+            new.cold_credit = if allowance < 1.0 { self.rng.f64() } else { allowance };
+            self.exchanges.insert(new.entry.id, new);
+        }
+        let started_at =
+            |exchange: &ExchangeState| exchange.entry.ready_at.map_or(f64::NEG_INFINITY, |at| at.0);
+        self.in_service_by_number.clear();
+        for exchange in self.exchanges.values().filter(|exchange| exchange.in_service()) {
+            let latest = self.in_service_by_number.entry(exchange.entry.number).or_insert(exchange.entry.id);
+            if self.exchanges.get(latest).is_some_and(|old| started_at(old) <= started_at(exchange)) {
+                *latest = exchange.entry.id;
             }
         }
         // Replaced offices never come back: keep none but those with a set-up still out.
-        let serving = &self.serving;
-        self.fars.retain(|_, far| {
-            let gone = far.office.state == ServiceState::Removed && serving.contains_key(&far.office.number);
-            !gone || !far.pending.is_empty()
+        let in_service_by_number = &self.in_service_by_number;
+        self.exchanges.retain(|_, exchange| {
+            let replaced = exchange.entry.state == ServiceState::Removed
+                && in_service_by_number.contains_key(&exchange.entry.number);
+            !replaced || !exchange.unanswered.is_empty()
         });
     }
 
-    fn office_of(&self, number: ExchangeNumber) -> Option<ExchangeId> {
-        self.serving.get(&number).copied()
+    fn exchange_in_service(&self, number: ExchangeNumber) -> Option<ExchangeId> {
+        self.in_service_by_number.get(&number).copied()
     }
 
-    fn is_cold(&self, far: &Far, now: Time) -> bool {
-        far.office.ready_at.is_some_and(|at| now - at < self.settings.warm_up_time)
+    fn is_cold(&self, exchange: &ExchangeState, now: Time) -> bool {
+        exchange.entry.ready_at.is_some_and(|at| now - at < self.settings.warm_up_time)
     }
 
     /// Set-ups in a span of `fall` that this instance may send to a cold office: its share of what all
     /// together may. A reported rate is only what is left beside other work, so the largest sign counts: its
     /// best report, the traffic here, the quickest set-up, and a set-up in the longest onset 1.
-    fn cold_share(&self, far: &Far) -> f64 {
-        let s = &self.settings;
-        let least = 1.0 / (self.tuning.onset_max * self.aim);
-        let seen = 2.0 / self.quickest.max(MIN_RATE);
-        let capacity = far.best_rate.max(2.0 * self.offered).max(seen).max(least);
-        let all = s.collapse_multiple * s.cold_share * capacity * s.collapse_time;
+    fn cold_allowance(&self, exchange: &ExchangeState) -> f64 {
+        let settings = &self.settings;
+        let lowest = 1.0 / (self.tuning.onset_max * self.shortest_target);
+        let measured = 2.0 / self.min_set_up_delay.max(MIN_RATE);
+        let capacity = exchange.max_set_up_rate.max(2.0 * self.offered_rate).max(measured).max(lowest);
+        let fleet_allowance =
+            settings.collapse_multiple * settings.cold_share * capacity * settings.collapse_time;
         // A processor's own call server gives it about half of its work, the others share the rest.
-        let others = f64::from(s.proxies.saturating_sub(1).max(1));
-        let own = self.tuning.own_part;
-        let part = if Some(far.office.number) == s.own_exchange { own } else { (1.0 - own) / others };
-        (all * part).max(0.0)
+        let others = f64::from(settings.proxies.saturating_sub(1).max(1));
+        let own_share = self.tuning.own_processor_share;
+        let proxy_share = if Some(exchange.entry.number) == settings.own_exchange {
+            own_share
+        } else {
+            (1.0 - own_share) / others
+        };
+        (fleet_allowance * proxy_share).max(0.0)
     }
 
     /// What is left of that share. It fills over time and starts at a random part of one set-up, so that of a
     /// large fleet, where each has far less than one, not all send their first at once.
-    fn cold_credit(&self, far: &Far, now: Time) -> f64 {
-        let share = self.cold_share(far);
-        let filled = share * (now - far.cold_at) / self.settings.collapse_time.max(1e-3);
-        (far.cold_credit + filled).min((share / 2.0).max(1.0))
+    fn available_cold_credit(&self, exchange: &ExchangeState, now: Time) -> f64 {
+        let allowance = self.cold_allowance(exchange);
+        let refill = allowance * (now - exchange.cold_credit_at) / self.settings.collapse_time.max(1e-3);
+        (exchange.cold_credit + refill).min((allowance / 2.0).max(1.0))
     }
 
-    fn cold_refuses(&self, far: &Far, now: Time) -> bool {
-        self.is_cold(far, now) && self.cold_credit(far, now) < 1.0
+    fn cold_credit_exhausted(&self, exchange: &ExchangeState, now: Time) -> bool {
+        self.is_cold(exchange, now) && self.available_cold_credit(exchange, now) < 1.0
     }
 
-    fn own_office(&self) -> Option<ExchangeId> {
-        self.settings.own_exchange.and_then(|n| self.office_of(n))
+    fn own_exchange_id(&self) -> Option<ExchangeId> {
+        self.settings.own_exchange.and_then(|number| self.exchange_in_service(number))
     }
 
     /// Whether the rules on repeats let this call go to this office now.
-    fn may_send(&self, call: &Call, far: &Far, now: Time) -> bool {
-        let Some((first, sent)) = call.may_have_run else { return true };
+    fn repeat_allowed(&self, call: &Call, exchange: &ExchangeState, now: Time) -> bool {
+        let Some((first_id, sent_at)) = call.may_have_run else { return true };
         let class = &self.settings.classes[call.arrival.class.0];
-        let group = match class.repeat_semantics {
+        let scope = match class.repeat_semantics {
             RepeatSemantics::Idempotent => return true,
             RepeatSemantics::AtMostOnce => return false,
             RepeatSemantics::Deduplicated(scope) => scope,
         };
-        let first = self.fars.get(&first).map(|f| &f.office);
-        now - sent < class.duplicate_window
-            && match group {
+        let first = self.exchanges.get(&first_id).map(|exchange| &exchange.entry);
+        now - sent_at < class.duplicate_window
+            && match scope {
                 DuplicateScope::All => true,
-                DuplicateScope::Zone => first.is_some_and(|o| o.zone == far.office.zone),
-                DuplicateScope::Number => first.is_some_and(|o| o.number == far.office.number),
+                DuplicateScope::Zone => first.is_some_and(|entry| entry.zone == exchange.entry.zone),
+                DuplicateScope::Number => first.is_some_and(|entry| entry.number == exchange.entry.number),
             }
     }
 
@@ -451,528 +472,598 @@
     /// Set-ups a second of a warm processor, once known: as reported, else by the quickest set-up seen, which
     /// passed two of them, and the traffic here, about half of what a processor looks at. The traffic alone
     /// says too little: a call server with few callers is no sign of slow processors.
-    fn speed(&self, now: Time) -> Option<f64> {
-        let rates = self.fars.values().filter(|f| f.is_on() && !self.is_cold(f, now)).filter_map(|f| f.rate);
-        let (sum, n) = rates.fold((0.0, 0.0), |(sum, n), r| (sum + r, n + 1.0));
-        let seen = self.quickest.is_finite();
-        match n > 0.0 {
-            true => Some((sum / n).max(MIN_RATE)),
-            false => seen.then(|| (2.0 * self.offered).max(2.0 / self.quickest.max(MIN_RATE))),
+    fn processor_rate(&self, now: Time) -> Option<f64> {
+        let rates = self
+            .exchanges
+            .values()
+            .filter(|exchange| exchange.in_service() && !self.is_cold(exchange, now))
+            .filter_map(|exchange| exchange.set_up_rate);
+        let (sum, count) = rates.fold((0.0, 0.0), |(sum, count), rate| (sum + rate, count + 1.0));
+        let measured = self.min_set_up_delay.is_finite();
+        match count > 0.0 {
+            true => Some((sum / count).max(MIN_RATE)),
+            false => {
+                measured.then(|| (2.0 * self.offered_rate).max(2.0 / self.min_set_up_delay.max(MIN_RATE)))
+            }
         }
     }
 
     fn onset(&self, now: Time) -> Secs {
-        let (least, most) = (self.tuning.onset_min * self.aim, self.tuning.onset_max * self.aim);
-        self.speed(now).map_or(most, |speed| (self.tuning.depth / speed).clamp(least, most))
+        let (shortest, longest) =
+            (self.tuning.onset_min * self.shortest_target, self.tuning.onset_max * self.shortest_target);
+        self.processor_rate(now).map_or(longest, |rate| (self.tuning.depth / rate).clamp(shortest, longest))
     }
 
-    fn fresh(&self) -> Secs {
-        self.tuning.fresh_aims * self.aim
+    fn sample_lifetime(&self) -> Secs {
+        self.tuning.fresh_aims * self.shortest_target
     }
 
     /// The wait at the own processor, which every set-up of ours passes: the quickest of the last few ends of
     /// set-ups bounds it, whatever far ends they went to, and so does the age of the last unanswered ones.
     fn own_wait(&self, now: Time) -> Option<Secs> {
-        let fresh = self.fresh();
-        let ends = self.ends.iter().filter(|(_, at)| now - *at <= fresh).map(|(wait, _)| *wait);
-        let (least, n) = ends.fold((f64::INFINITY, 0), |(least, n), wait| (least.min(wait), n + 1));
-        let heard = self.fars.values().filter(|f| f.silent_since.is_none());
-        let mut out: Vec<_> = heard.flat_map(|f| f.waiting().map(|sent| self.watch - sent)).collect();
-        out.sort_by(|a, b| b.total_cmp(a));
-        let aged = out.get(ENDS - 1).map(|age| (age - self.quickest.min(*age)).max(0.0));
-        (n >= ENDS / 2).then_some(least).into_iter().chain(aged).reduce(f64::max)
+        let lifetime = self.sample_lifetime();
+        let samples =
+            self.own_wait_samples.iter().filter(|(_, at)| now - *at <= lifetime).map(|(wait, _)| *wait);
+        let (shortest, count) =
+            samples.fold((f64::INFINITY, 0), |(shortest, count), wait| (shortest.min(wait), count + 1));
+        let answering = self.exchanges.values().filter(|exchange| exchange.silent_since.is_none());
+        let mut ages: Vec<_> = answering
+            .flat_map(|exchange| exchange.awaiting_answer().map(|sent_at| self.active_clock - sent_at))
+            .collect();
+        ages.sort_by(|a, b| b.total_cmp(a));
+        let unanswered_wait =
+            ages.get(OWN_WAIT_SAMPLES - 1).map(|age| (age - self.min_set_up_delay.min(*age)).max(0.0));
+        (count >= OWN_WAIT_SAMPLES / 2)
+            .then_some(shortest)
+            .into_iter()
+            .chain(unanswered_wait)
+            .reduce(f64::max)
     }
 
     /// The end of a set-up, as far as it tells of the own processor.
-    fn learn_own(&mut self, wait: Secs, now: Time) {
-        self.own_news = true;
-        self.ends.push_back((wait.max(0.0), now));
-        if self.ends.len() > ENDS {
-            self.ends.pop_front();
+    fn record_own_wait(&mut self, wait: Secs, now: Time) {
+        self.own_has_new_sample = true;
+        self.own_wait_samples.push_back((wait.max(0.0), now));
+        if self.own_wait_samples.len() > OWN_WAIT_SAMPLES {
+            self.own_wait_samples.pop_front();
         }
     }
 
     /// Brings the own level and that of one office up to date.
-    fn refresh(&mut self, office: ExchangeId, now: Time) {
-        let own_wait = self.refresh_own(now);
-        self.refresh_far(office, own_wait, now);
+    fn update_levels(&mut self, exchange_id: ExchangeId, now: Time) {
+        let own_wait = self.update_own_level(now);
+        self.update_exchange_level(exchange_id, own_wait, now);
     }
 
     /// The own level; returns the own wait, which is not to be blamed on far ends.
-    fn refresh_own(&mut self, now: Time) -> Secs {
+    fn update_own_level(&mut self, now: Time) -> Secs {
         let onset = self.onset(now);
-        let own = self.own_office().and_then(|o| self.fars.get(&o));
-        let reported = own.and_then(|far| far.fresh_report(now, self.fresh()));
+        let own_exchange = self.own_exchange_id().and_then(|id| self.exchanges.get(&id));
+        let reported =
+            own_exchange.and_then(|exchange| exchange.recent_reported_wait(now, self.sample_lifetime()));
         let own_wait = self.own_wait(now).into_iter().chain(reported).reduce(f64::max);
         // Until a speed is known, as after a restart, a count tells no wait.
-        let set_up = self.speed(now).map_or(0.0, |speed| 1.0 / speed);
-        let heard = self.fars.values().filter(|f| f.silent_since.is_none());
-        let out: usize = heard.map(|f| f.waiting().count()).sum();
-        let queue = self.tuning.own_part * out as f64 * set_up;
+        let set_up_time = self.processor_rate(now).map_or(0.0, |rate| 1.0 / rate);
+        let answering = self.exchanges.values().filter(|exchange| exchange.silent_since.is_none());
+        let unanswered_count: usize = answering.map(|exchange| exchange.awaiting_answer().count()).sum();
+        let queue_wait = self.tuning.own_processor_share * unanswered_count as f64 * set_up_time;
         // Ends of set-ups known before say nothing new: while all is refused no others come.
-        let news = std::mem::take(&mut self.own_news) || out > 0;
+        let has_new_sample = std::mem::take(&mut self.own_has_new_sample) || unanswered_count > 0;
         match own_wait {
-            Some(wait) if news => self.own.observe(wait.max(queue), onset, self.tuning.abate, now),
-            _ if queue >= onset => self.own.observe(queue, onset, self.tuning.abate, now),
-            _ => self.own.decay(self.tuning.quiet_aims * self.aim, now),
+            Some(wait) if has_new_sample => {
+                self.own_overload.observe(wait.max(queue_wait), onset, self.tuning.abate, now)
+            }
+            _ if queue_wait >= onset => self.own_overload.observe(queue_wait, onset, self.tuning.abate, now),
+            _ => self.own_overload.decay(self.tuning.quiet_aims * self.shortest_target, now),
         }
         own_wait.unwrap_or(0.0)
     }
 
-    fn refresh_far(&mut self, office: ExchangeId, own_wait: Secs, now: Time) {
-        let (aim, fresh, onset) = (self.aim, self.fresh(), self.onset(now));
-        let (watch, set_up) = (self.watch, self.speed(now).map_or(0.0, |speed| 1.0 / speed));
-        let Some(far) = self.fars.get_mut(&office) else { return };
-        let ours = far.seen_wait(now, watch, fresh).map(|d| (d - own_wait).max(0.0));
-        let queue = far.waiting().count() as f64 * set_up;
-        let silence = (far.oldest(watch) - far.base.unwrap_or(0.0) - own_wait).max(queue);
-        let wait = far.fresh_report(now, fresh).or(ours).map(|w| w.max(silence));
-        let news = std::mem::take(&mut far.news);
+    fn update_exchange_level(&mut self, exchange_id: ExchangeId, own_wait: Secs, now: Time) {
+        let (target, lifetime, onset) = (self.shortest_target, self.sample_lifetime(), self.onset(now));
+        let (active_clock, set_up_time) =
+            (self.active_clock, self.processor_rate(now).map_or(0.0, |rate| 1.0 / rate));
+        let Some(exchange) = self.exchanges.get_mut(&exchange_id) else { return };
+        let measured =
+            exchange.measured_wait(now, active_clock, lifetime).map(|delay| (delay - own_wait).max(0.0));
+        let queue_wait = exchange.awaiting_answer().count() as f64 * set_up_time;
+        let unanswered_wait =
+            (exchange.oldest_age(active_clock) - exchange.min_delay.unwrap_or(0.0) - own_wait)
+                .max(queue_wait);
+        let wait =
+            exchange.recent_reported_wait(now, lifetime).or(measured).map(|wait| wait.max(unanswered_wait));
+        let has_new_sample = std::mem::take(&mut exchange.has_new_sample);
         match wait {
-            Some(wait) if news || wait >= onset && silence >= wait => {
-                far.overload.observe(wait, onset, self.tuning.abate, now);
+            Some(wait) if has_new_sample || wait >= onset && unanswered_wait >= wait => {
+                exchange.overload.observe(wait, onset, self.tuning.abate, now);
             }
-            _ => far.overload.decay(self.tuning.far_quiet_aims * aim, now),
+            _ => exchange.overload.decay(self.tuning.far_quiet_aims * target, now),
         }
     }
 
     /// Whether the state of an office bars a set-up now: draining, paused, cold and spent, or silent.
-    fn barred(&self, far: &Far, now: Time) -> bool {
+    fn unavailable(&self, exchange: &ExchangeState, now: Time) -> bool {
         // A silent processor gets one trial call at a time: set-ups must not pour into a hung one.
-        let silent = far.silent_since.is_some() && far.waiting().next().is_some();
-        !far.is_on() || now < far.paused_until || silent || self.cold_refuses(far, now)
+        let silent = exchange.silent_since.is_some() && exchange.awaiting_answer().next().is_some();
+        !exchange.in_service()
+            || now < exchange.paused_until
+            || silent
+            || self.cold_credit_exhausted(exchange, now)
     }
 
     // ---- Admission -----------------------------------------------------------------------------
 
     /// Callers that do not mark redials still show them: first tries all bring the same time to live,
     /// later ones what is left of the give-up time. The commonest length seen is taken for the first try's.
-    fn looks_resent(&mut self, arrival: &Arrival) -> bool {
+    fn is_likely_redial(&mut self, arrival: &Arrival) -> bool {
         if arrival.transit || arrival.re_established || arrival.redial {
             return arrival.redial;
         }
         let slot = (arrival.ttl / TTL_SLOT).round().clamp(0.0, 1e9) as i64;
-        *self.tries.entry((arrival.class, slot)).or_insert(0) += 1;
-        let of_class = self.tries.range((arrival.class, 0)..=(arrival.class, i64::MAX));
-        let (count, usual) = of_class.fold((0, slot), |b, (k, n)| if *n > b.0 { (*n, k.1) } else { b });
-        count > 1 && (slot - usual).abs() > 1
+        *self.ttl_counts.entry((arrival.class, slot)).or_insert(0) += 1;
+        let class_counts = self.ttl_counts.range((arrival.class, 0)..=(arrival.class, i64::MAX));
+        let (count, usual_slot) =
+            class_counts.fold((0, slot), |most, (key, n)| if *n > most.0 { (*n, key.1) } else { most });
+        count > 1 && (slot - usual_slot).abs() > 1
     }
 
     /// A redial whose first try was refused here less than its aim ago can still earn its full worth.
-    fn still_in_aim(&self, arrival: &Arrival, now: Time) -> bool {
-        let first = arrival.number.as_ref().and_then(|n| self.turned_away.get(n));
-        first.is_some_and(|at| now - *at < self.class_aim(arrival) - self.onset(now))
+    fn within_first_target(&self, arrival: &Arrival, now: Time) -> bool {
+        let first_refused_at = arrival.number.as_ref().and_then(|number| self.first_refusals.get(number));
+        first_refused_at.is_some_and(|at| now - *at < self.class_target(arrival) - self.onset(now))
     }
 
-    fn on_arrival(&mut self, now: Time, mut arrival: Arrival, out: &mut Vec<Action>) {
-        arrival.redial = self.looks_resent(&arrival) && !self.still_in_aim(&arrival, now);
-        let gap = (now - self.last_arrival).max(1e-3);
-        let blend = 1.0 - (-gap / self.tuning.traffic_span).exp();
-        self.offered += blend * (1.0 / gap - self.offered);
-        self.last_arrival = now;
+    fn on_arrival(&mut self, now: Time, mut arrival: Arrival, actions: &mut Vec<Action>) {
+        arrival.redial = self.is_likely_redial(&arrival) && !self.within_first_target(&arrival, now);
+        let interval = (now - self.last_arrival_at).max(1e-3);
+        let smoothing = 1.0 - (-interval / self.tuning.traffic_span).exp();
+        self.offered_rate += smoothing * (1.0 / interval - self.offered_rate);
+        self.last_arrival_at = now;
         let call = Call {
-            arrived: now,
+            arrived_at: now,
             deadline: now + arrival.ttl.max(0.0),
             attempts: 0,
-            stage: Stage::Held,
+            stage: Stage::BetweenAttempts,
             not_before: now,
-            tried: Vec::new(),
+            tried_exchanges: Vec::new(),
             may_have_run: None,
             arrival,
         };
-        let refusal = self.refusal(&call, now, out);
+        let refusal = self.refusal(&call, now, actions);
         let id = call.arrival.id.clone();
         self.calls.insert(id.clone(), call);
         match refusal {
-            None => self.advance(now, &id, out),
-            Some(reason) => self.conclude(&id, reason, out),
+            None => self.attempt_or_conclude(now, &id, actions),
+            Some(reason) => self.conclude(&id, reason, actions),
         }
     }
 
-    fn rank(&self, arrival: &Arrival) -> Rank {
-        let worth = |ix: usize| self.settings.classes.get(ix).map_or(0.0, |c| c.worth);
-        let least = self.settings.classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min);
+    fn priority(&self, arrival: &Arrival) -> Priority {
+        let worth = |index: usize| self.settings.classes.get(index).map_or(0.0, |class| class.worth);
+        let lowest = self.settings.classes.iter().map(|class| class.worth).fold(f64::INFINITY, f64::min);
         match (arrival.re_established, arrival.redial) {
-            (true, _) => Rank::Urgent,
-            (_, true) => Rank::Redial,
-            _ if worth(arrival.class.0) > least => Rank::Urgent,
-            _ => Rank::Normal,
+            (true, _) => Priority::Urgent,
+            (_, true) => Priority::Redial,
+            _ if worth(arrival.class.0) > lowest => Priority::Urgent,
+            _ => Priority::Normal,
         }
     }
 
     /// Why a request is refused before anything is sent, if it is: first set-ups at the share of the own and the far
     /// processor's level.
-    fn refusal(&mut self, call: &Call, now: Time, out: &mut Vec<Action>) -> Option<Refusal> {
+    fn refusal(&mut self, call: &Call, now: Time, actions: &mut Vec<Action>) -> Option<Refusal> {
         let arrival = &call.arrival;
         // A call to a number of the own exchange has no office to go to: a send to oneself is a fault.
         let to_self = self.settings.own_exchange == Some(arrival.dest);
         if to_self || arrival.class.0 >= self.settings.classes.len() {
             return Some(Refusal::Unroutable);
         }
-        if self.gapped(arrival, now) {
+        if self.is_gapped(arrival, now) {
             return Some(Refusal::Gapped);
         }
-        let Some(dest) = self.office_of(arrival.dest) else { return Some(Refusal::NotInService) };
-        let rank = self.rank(arrival);
-        if let Some(own) = self.own_office() {
-            if self.settings.probing_allowed && now - self.probed_at >= self.tuning.probe_aims * self.aim {
+        let Some(dest_id) = self.exchange_in_service(arrival.dest) else {
+            return Some(Refusal::NotInService);
+        };
+        let priority = self.priority(arrival);
+        if let Some(own_id) = self.own_exchange_id() {
+            if self.settings.probing_allowed
+                && now - self.probed_at >= self.tuning.probe_aims * self.shortest_target
+            {
                 self.probed_at = now;
-                out.push(Action::Probe(own));
+                actions.push(Action::Probe(own_id));
             }
         }
-        self.refresh(dest, now);
-        if self.own.refuses(rank, &self.tuning.refused) {
+        self.update_levels(dest_id, now);
+        if self.own_overload.refuses(priority, &self.tuning.refused) {
             return Some(Refusal::OwnOverload);
         }
-        let Some(far) = self.fars.get(&dest) else { return Some(Refusal::NotInService) };
-        if self.barred(far, now) && self.settings.service_kind == ServiceKind::Network {
+        let Some(exchange) = self.exchanges.get(&dest_id) else { return Some(Refusal::NotInService) };
+        if self.unavailable(exchange, now) && self.settings.service_kind == ServiceKind::Network {
             return Some(Refusal::FarUnavailable);
         }
-        let trial = far.silent_since.is_some();
-        if trial || arrival.transit || self.settings.service_kind == ServiceKind::AgentPools {
+        let is_trial_call = exchange.silent_since.is_some();
+        if is_trial_call || arrival.transit || self.settings.service_kind == ServiceKind::AgentPools {
             return None;
         }
-        let far = self.fars.get_mut(&dest)?;
-        far.overload.refuses(rank, &self.tuning.refused).then_some(Refusal::FarOverload)
+        let exchange = self.exchanges.get_mut(&dest_id)?;
+        exchange.overload.refuses(priority, &self.tuning.refused).then_some(Refusal::FarOverload)
     }
 
-    fn on_status(&mut self, now: Time, office: ExchangeId, ok: bool, report: &LoadReport) {
+    fn on_status(&mut self, now: Time, exchange_id: ExchangeId, ok: bool, report: &LoadReport) {
         let onset = self.onset(now);
-        self.own_news |= self.own_office() == Some(office);
-        let Some(far) = self.fars.get_mut(&office) else { return };
+        self.own_has_new_sample |= self.own_exchange_id() == Some(exchange_id);
+        let Some(exchange) = self.exchanges.get_mut(&exchange_id) else { return };
         if ok {
-            far.learn(report, now, onset);
+            exchange.apply_report(report, now, onset);
         } else {
-            far.reported = Some((self.tuning.probe_failed * onset, now));
-            far.news = true;
+            exchange.reported_wait = Some((self.tuning.probe_failed * onset, now));
+            exchange.has_new_sample = true;
         }
     }
 
-    fn gapped(&self, arrival: &Arrival, now: Time) -> bool {
-        let gap = arrival.number.as_ref().and_then(|n| self.gaps.get(n));
+    fn is_gapped(&self, arrival: &Arrival, now: Time) -> bool {
+        let gap = arrival.number.as_ref().and_then(|number| self.gaps.get(number));
         gap.is_some_and(|(until, _)| now < *until)
     }
 
     // ---- Route choice --------------------------------------------------------------------------
 
-    fn reserve(&self, far: &Far) -> f64 {
-        let size = far.size.unwrap_or(0.0).max(0.0);
+    fn reserved_circuits(&self, exchange: &ExchangeState) -> f64 {
+        let size = exchange.group_size.unwrap_or(0.0).max(0.0);
         (self.tuning.reserve * size.sqrt()).ceil().min((self.tuning.most_reserved * size).floor())
     }
 
-    fn room(far: &Far, width: u32, kept: f64) -> bool {
-        far.free.is_none_or(|free| free - kept >= f64::from(width))
+    fn has_room(exchange: &ExchangeState, width: u32, reserved: f64) -> bool {
+        exchange.free_circuits.is_none_or(|free| free - reserved >= f64::from(width))
     }
 
     /// Direct while the group has room, else over a tandem.
-    fn route(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
+    fn choose_route(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
         let arrival = &call.arrival;
-        let dest = self.office_of(arrival.dest);
-        if let Some(far) = dest.and_then(|d| self.fars.get(&d)) {
+        let dest_id = self.exchange_in_service(arrival.dest);
+        if let Some(exchange) = dest_id.and_then(|id| self.exchanges.get(&id)) {
             // A marked redial mostly stands late: it must not take the last circuits from first tries.
-            let kept = if arrival.transit || arrival.redial { self.reserve(far) } else { 0.0 };
-            let fits = Self::room(far, arrival.width, kept) && !self.barred(far, now);
-            let again = call.tried.contains(&far.office.id) && call.may_have_run.is_none();
-            if fits && !again && self.may_send(call, far, now) {
-                return dest;
+            let reserved =
+                if arrival.transit || arrival.redial { self.reserved_circuits(exchange) } else { 0.0 };
+            let fits = Self::has_room(exchange, arrival.width, reserved) && !self.unavailable(exchange, now);
+            let failed_before_running =
+                call.tried_exchanges.contains(&exchange.entry.id) && call.may_have_run.is_none();
+            if fits && !failed_before_running && self.repeat_allowed(call, exchange, now) {
+                return dest_id;
             }
         }
         if arrival.transit || arrival.redial {
             return None;
         }
-        self.draw_tandem(call, now)
+        self.choose_tandem(call, now)
     }
 
     /// A weighted draw of the tandems whose leg has more than the reserve free. A call over a tandem is
     /// work for a third processor, so only processors at no overload take part.
-    fn draw_tandem(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
-        let own_wait = self.refresh_own(now);
-        if self.own.level > 0 {
+    fn choose_tandem(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
+        let own_wait = self.update_own_level(now);
+        if self.own_overload.level > 0 {
             return None;
         }
         let arrival = &call.arrival;
         let pools = &self.settings.classes[arrival.class.0].pools;
-        let skills = self.settings.service_kind == ServiceKind::AgentPools;
-        let usable = |far: &&Far| {
-            let number = far.office.number;
-            let allowed = !skills || pools.is_empty() || pools.contains(&number);
+        let agent_pools = self.settings.service_kind == ServiceKind::AgentPools;
+        let usable = |exchange: &&ExchangeState| {
+            let number = exchange.entry.number;
+            let allowed = !agent_pools || pools.is_empty() || pools.contains(&number);
             Some(number) != self.settings.own_exchange
                 && number != arrival.dest
                 && allowed
-                && self.serving.get(&number) == Some(&far.office.id)
-                && !call.tried.contains(&far.office.id)
-                && Self::room(far, arrival.width, self.reserve(far))
-                && !self.barred(far, now)
-                && !self.is_cold(far, now)
-                && far.silent_since.is_none()
-                && self.may_send(call, far, now)
+                && self.in_service_by_number.get(&number) == Some(&exchange.entry.id)
+                && !call.tried_exchanges.contains(&exchange.entry.id)
+                && Self::has_room(exchange, arrival.width, self.reserved_circuits(exchange))
+                && !self.unavailable(exchange, now)
+                && !self.is_cold(exchange, now)
+                && exchange.silent_since.is_none()
+                && self.repeat_allowed(call, exchange, now)
         };
-        let candidates: Vec<_> =
-            self.fars.values().filter(usable).map(|f| (f.office.id, f.office.number)).collect();
-        let mut weighted = Vec::new();
-        let mut advised = None;
+        let candidates: Vec<_> = self
+            .exchanges
+            .values()
+            .filter(usable)
+            .map(|exchange| (exchange.entry.id, exchange.entry.number))
+            .collect();
+        let mut candidate_weights = Vec::new();
+        let mut advised_index = None;
         for (id, number) in candidates {
-            self.refresh_far(id, own_wait, now);
-            if self.fars.get(&id).is_some_and(|f| f.overload.level > 0) {
+            self.update_exchange_level(id, own_wait, now);
+            if self.exchanges.get(&id).is_some_and(|exchange| exchange.overload.level > 0) {
                 continue;
             }
-            let weight = self.weights.get(&(arrival.dest, number)).copied().unwrap_or(1.0);
-            weighted.push((id, weight));
-            advised = advised.or((arrival.hop == Some(number)).then_some(weighted.len() - 1));
+            let weight = self.tandem_weights.get(&(arrival.dest, number)).copied().unwrap_or(1.0);
+            candidate_weights.push((id, weight));
+            advised_index =
+                advised_index.or((arrival.hop == Some(number)).then_some(candidate_weights.len() - 1));
         }
-        let others = weighted.len() as f64;
-        if let Some((_, weight)) = advised.and_then(|ix: usize| weighted.get_mut(ix)) {
-            *weight *= self.tuning.advised * others;
+        let candidate_count = candidate_weights.len() as f64;
+        if let Some((_, weight)) = advised_index.and_then(|index: usize| candidate_weights.get_mut(index)) {
+            *weight *= self.tuning.advised_tandem_factor * candidate_count;
         }
-        let total: f64 = weighted.iter().map(|(_, w)| w).sum();
+        let total: f64 = candidate_weights.iter().map(|(_, weight)| weight).sum();
         let mut draw = self.rng.f64() * total;
-        let hit = weighted.iter().find(|(_, weight)| {
+        let drawn = candidate_weights.iter().find(|(_, weight)| {
             draw -= weight;
             draw <= 0.0
         });
-        hit.or(weighted.last()).map(|(id, _)| *id)
+        drawn.or(candidate_weights.last()).map(|(id, _)| *id)
     }
 
-    fn weigh(&mut self, dest: ExchangeNumber, tandem: ExchangeId, good: bool) {
-        let Some(number) = self.fars.get(&tandem).map(|f| f.office.number) else { return };
+    fn adjust_tandem_weight(&mut self, dest: ExchangeNumber, tandem: ExchangeId, success: bool) {
+        let Some(number) = self.exchanges.get(&tandem).map(|exchange| exchange.entry.number) else { return };
         if number == dest {
             return;
         }
-        let (t, weight) = (&self.tuning, self.weights.entry((dest, number)).or_insert(1.0));
-        *weight = if good { *weight + t.raise * (1.0 - *weight) } else { (*weight * t.lower).max(t.floor) };
+        let (tuning, weight) = (&self.tuning, self.tandem_weights.entry((dest, number)).or_insert(1.0));
+        *weight = if success {
+            *weight + tuning.tandem_weight_gain * (1.0 - *weight)
+        } else {
+            (*weight * tuning.tandem_weight_loss_factor).max(tuning.min_tandem_weight)
+        };
     }
 
     // ---- Attempt life cycle --------------------------------------------------------------------
 
-    fn class_aim(&self, arrival: &Arrival) -> Secs {
-        self.settings.classes.get(arrival.class.0).map_or(self.aim, |c| c.target)
+    fn class_target(&self, arrival: &Arrival) -> Secs {
+        self.settings.classes.get(arrival.class.0).map_or(self.shortest_target, |class| class.target)
     }
 
     /// Sends a held call, or gives its final answer where nothing is left to try in time.
-    fn advance(&mut self, now: Time, id: &CallId, out: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(id).filter(|c| c.stage == Stage::Held).cloned() else { return };
-        let useful_until = call.arrived + self.class_aim(&call.arrival).min(call.deadline - call.arrived);
+    fn attempt_or_conclude(&mut self, now: Time, id: &CallId, actions: &mut Vec<Action>) {
+        let Some(call) = self.calls.get(id).filter(|call| call.stage == Stage::BetweenAttempts).cloned()
+        else {
+            return;
+        };
+        let useful_until =
+            call.arrived_at + self.class_target(&call.arrival).min(call.deadline - call.arrived_at);
         if now < call.not_before {
             if call.not_before >= useful_until {
-                return self.conclude(id, Refusal::Exhausted, out);
+                return self.conclude(id, Refusal::Exhausted, actions);
             }
             let after = (call.not_before - now) + self.settings.tick.max(1e-3);
-            return self.timer(after, Some(id.clone()), out);
+            return self.start_timer(after, Some(id.clone()), actions);
         }
-        let most = self.settings.max_attempts.clamp(1, self.tuning.most_tries);
-        if call.attempts >= most || now >= useful_until {
-            return self.conclude(id, Refusal::Exhausted, out);
+        let max_attempts = self.settings.max_attempts.clamp(1, self.tuning.most_tries);
+        if call.attempts >= max_attempts || now >= useful_until {
+            return self.conclude(id, Refusal::Exhausted, actions);
         }
-        if let Some(own) = self.own_office().and_then(|o| self.fars.get(&o)) {
-            if self.cold_refuses(own, now) {
-                return self.conclude(id, Refusal::OwnCold, out);
+        if let Some(own_exchange) = self.own_exchange_id().and_then(|id| self.exchanges.get(&id)) {
+            if self.cold_credit_exhausted(own_exchange, now) {
+                return self.conclude(id, Refusal::OwnCold, actions);
             }
         }
-        match self.route(&call, now) {
-            Some(office) => self.send(now, id, office, out),
-            None => self.conclude(id, Refusal::NoRoute, out),
+        match self.choose_route(&call, now) {
+            Some(exchange_id) => self.send_set_up(now, id, exchange_id, actions),
+            None => self.conclude(id, Refusal::NoRoute, actions),
         }
     }
 
-    fn send(&mut self, now: Time, id: &CallId, office: ExchangeId, out: &mut Vec<Action>) {
+    fn send_set_up(&mut self, now: Time, id: &CallId, exchange_id: ExchangeId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(id) else { return };
-        let aim = self.settings.classes.get(call.arrival.class.0).map_or(self.aim, |c| c.target);
-        let Some(far) = self.fars.get_mut(&office) else { return };
-        let abandon_at = call.arrived + aim.min(call.deadline - call.arrived);
-        call.stage = Stage::Out { office, leg: call.attempts, sent: now };
+        let target = self
+            .settings
+            .classes
+            .get(call.arrival.class.0)
+            .map_or(self.shortest_target, |class| class.target);
+        let Some(exchange) = self.exchanges.get_mut(&exchange_id) else { return };
+        let abandon_at = call.arrived_at + target.min(call.deadline - call.arrived_at);
+        call.stage = Stage::Attempting { exchange_id, leg: call.attempts, sent_at: now };
         call.attempts += 1;
-        call.tried.push(office);
-        let direct =
-            far.office.number == call.arrival.dest || self.settings.service_kind == ServiceKind::AgentPools;
-        far.pending.push((id.clone(), self.watch, direct));
-        for id in [Some(office), self.own_office()].into_iter().flatten() {
-            let left = self.fars.get(&id).map_or(0.0, |far| self.cold_credit(far, now) - 1.0);
-            if let Some(far) = self.fars.get_mut(&id) {
-                (far.cold_credit, far.cold_at) = (left.max(0.0), now);
+        call.tried_exchanges.push(exchange_id);
+        let direct = exchange.entry.number == call.arrival.dest
+            || self.settings.service_kind == ServiceKind::AgentPools;
+        exchange.unanswered.push((id.clone(), self.active_clock, direct));
+        for cold_id in [Some(exchange_id), self.own_exchange_id()].into_iter().flatten() {
+            let credit = self
+                .exchanges
+                .get(&cold_id)
+                .map_or(0.0, |exchange| self.available_cold_credit(exchange, now) - 1.0);
+            if let Some(exchange) = self.exchanges.get_mut(&cold_id) {
+                (exchange.cold_credit, exchange.cold_credit_at) = (credit.max(0.0), now);
             }
         }
-        out.push(Action::Attempt { id: id.clone(), exchange: office, abandon_at });
+        actions.push(Action::Attempt { id: id.clone(), exchange: exchange_id, abandon_at });
     }
 
-    fn on_stands(&mut self, now: Time, id: &CallId, leg: u32, office: ExchangeId, took: Secs) {
+    fn on_established(&mut self, now: Time, id: &CallId, leg: u32, exchange_id: ExchangeId, elapsed: Secs) {
         let Some(call) = self.calls.get_mut(id) else { return };
-        let Stage::Out { leg: l, office: o, sent } = call.stage else { return };
-        if l != leg || o != office {
+        let Stage::Attempting { leg: pending_leg, exchange_id: pending_id, sent_at } = call.stage else {
+            return;
+        };
+        if pending_leg != leg || pending_id != exchange_id {
             return;
         }
-        call.stage = Stage::Standing;
+        call.stage = Stage::Established;
         let (dest, number) = (call.arrival.dest, call.arrival.number.clone());
-        let (mut waited, mut took) = (took, took);
-        if let Some(far) = self.fars.get_mut(&office) {
-            let on_watch =
-                far.pending.iter().find(|(c, ..)| c == id).map_or(self.watch, |(_, sent, _)| *sent);
-            let stood_still = (now - sent) - (self.watch - on_watch);
-            took = (took - stood_still.max(0.0)).max(0.0);
-            far.settle(id, true);
-            waited = took - far.base.unwrap_or(self.quickest.min(took));
-            if far.office.number == dest || self.settings.service_kind == ServiceKind::AgentPools {
-                (far.delay, far.news) = (Some((took, now)), true);
-                self.quickest = self.quickest.min(took.max(0.0));
-                far.base = Some(far.base.map_or(took, |b| b.min(took)));
+        let (mut wait, mut elapsed) = (elapsed, elapsed);
+        if let Some(exchange) = self.exchanges.get_mut(&exchange_id) {
+            let sent_on_active_clock = exchange
+                .unanswered
+                .iter()
+                .find(|(call_id, ..)| call_id == id)
+                .map_or(self.active_clock, |(_, sent_at, _)| *sent_at);
+            let stalled = (now - sent_at) - (self.active_clock - sent_on_active_clock);
+            elapsed = (elapsed - stalled.max(0.0)).max(0.0);
+            exchange.remove_unanswered(id, true);
+            wait = elapsed - exchange.min_delay.unwrap_or(self.min_set_up_delay.min(elapsed));
+            if exchange.entry.number == dest || self.settings.service_kind == ServiceKind::AgentPools {
+                (exchange.delay_sample, exchange.has_new_sample) = (Some((elapsed, now)), true);
+                self.min_set_up_delay = self.min_set_up_delay.min(elapsed.max(0.0));
+                exchange.min_delay =
+                    Some(exchange.min_delay.map_or(elapsed, |shortest| shortest.min(elapsed)));
             }
-            far.silent_since = None;
+            exchange.silent_since = None;
         }
-        self.learn_own(waited, now);
-        self.weigh(dest, office, true);
+        self.record_own_wait(wait, now);
+        self.adjust_tandem_weight(dest, exchange_id, true);
         if let Some(number) = number {
             self.gaps.remove(&number);
         }
-        self.refresh(office, now);
+        self.update_levels(exchange_id, now);
     }
 
-    fn on_answer(&mut self, now: Time, answer: AttemptResult, out: &mut Vec<Action>) {
-        let id = answer.id.clone();
+    fn on_attempt_ended(&mut self, now: Time, result: AttemptResult, actions: &mut Vec<Action>) {
+        let id = result.id.clone();
         let onset = self.onset(now);
-        if let Some(far) = self.fars.get_mut(&answer.exchange) {
-            far.learn(&answer.report, now, onset);
+        if let Some(exchange) = self.exchanges.get_mut(&result.exchange) {
+            exchange.apply_report(&result.report, now, onset);
         }
-        if answer.concluded {
-            return self.forget(&id);
+        if result.concluded {
+            return self.remove_call(&id);
         }
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Stage::Out { leg, sent, .. } = call.stage else { return };
-        if leg != answer.leg {
+        let Stage::Attempting { leg, sent_at, .. } = call.stage else { return };
+        if leg != result.leg {
             return;
         }
         let (dest, number) = (call.arrival.dest, call.arrival.number.clone());
-        call.stage = Stage::Held;
+        call.stage = Stage::BetweenAttempts;
         // A refusal may jump the line: only what stands tells of it.
-        let overtaken = self.fars.get_mut(&answer.exchange).is_some_and(|far| far.settle(&id, false));
+        let overtaken = self
+            .exchanges
+            .get_mut(&result.exchange)
+            .is_some_and(|exchange| exchange.remove_unanswered(&id, false));
         let never_ran =
-            matches!(answer.outcome, Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent);
+            matches!(result.outcome, Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent);
         if !never_ran && call.may_have_run.is_none() {
-            call.may_have_run = Some((answer.exchange, sent));
+            call.may_have_run = Some((result.exchange, sent_at));
         }
-        let mut again = true;
-        if let (Outcome::Refused, Some(far)) = (answer.outcome, self.fars.get_mut(&answer.exchange)) {
-            far.paused_until = Time(far.paused_until.0.max(now.0 + self.tuning.refused_pause));
+        let mut retry = true;
+        if let (Outcome::Refused, Some(exchange)) = (result.outcome, self.exchanges.get_mut(&result.exchange))
+        {
+            exchange.paused_until = Time(exchange.paused_until.0.max(now.0 + self.tuning.refused_pause));
         }
-        match (answer.outcome, answer.cause) {
+        match (result.outcome, result.cause) {
             (Outcome::TimedOut, _) => {
                 call.not_before = now + self.settings.release_pause;
                 if !overtaken {
-                    self.learn_silence(now, dest, answer.exchange, answer.elapsed);
+                    self.record_no_answer(now, dest, result.exchange, result.elapsed);
                 }
             }
             (Outcome::Reset | Outcome::Cancelled, _) => call.not_before = now + self.settings.release_pause,
             (Outcome::Error, Cause::LinesBusy) => {
-                self.gap(now, number);
-                again = false;
+                self.gap_number(now, number);
+                retry = false;
             }
             (Outcome::Refused, Cause::ProcessorFull) => {
-                self.learn_full(now, answer.exchange, answer.retry_after);
-                again = self.fars.get(&answer.exchange).is_some_and(|f| f.office.number != dest);
+                self.record_full_processor(now, result.exchange, result.retry_after);
+                retry = self
+                    .exchanges
+                    .get(&result.exchange)
+                    .is_some_and(|exchange| exchange.entry.number != dest);
             }
             (Outcome::Refused, Cause::FarProcessorFull) => {
-                if let Some(far) = self.office_of(dest) {
-                    self.learn_full(now, far, None);
+                if let Some(dest_id) = self.exchange_in_service(dest) {
+                    self.record_full_processor(now, dest_id, None);
                 }
-                again = false;
+                retry = false;
             }
-            (Outcome::Refused, Cause::Crankback) => self.weigh(dest, answer.exchange, false),
+            (Outcome::Refused, Cause::Crankback) => self.adjust_tandem_weight(dest, result.exchange, false),
             (Outcome::NotSent, Cause::ProcessorFull) => {
-                self.own.raise(now);
-                again = false;
+                self.own_overload.raise(now);
+                retry = false;
             }
-            (Outcome::ConnectFailed, _) => self.learn_silence(now, dest, answer.exchange, answer.elapsed),
+            (Outcome::ConnectFailed, _) => self.record_no_answer(now, dest, result.exchange, result.elapsed),
             _ => {}
         }
-        if again {
-            self.advance(now, &id, out);
+        if retry {
+            self.attempt_or_conclude(now, &id, actions);
         } else {
-            self.conclude(&id, Refusal::Busy, out);
+            self.conclude(&id, Refusal::Busy, actions);
         }
     }
 
     /// No answer: the wait is at least the time we waited. Through a tandem either end may be at fault, so
     /// only the weight of the pair is lowered.
-    fn learn_silence(&mut self, now: Time, dest: ExchangeNumber, office: ExchangeId, took: Secs) {
-        self.weigh(dest, office, false);
+    fn record_no_answer(&mut self, now: Time, dest: ExchangeNumber, exchange_id: ExchangeId, elapsed: Secs) {
+        self.adjust_tandem_weight(dest, exchange_id, false);
         let own_wait = self.own_wait(now).unwrap_or(0.0);
-        let Some(far) = self.fars.get_mut(&office) else { return };
-        if far.office.number == dest || self.settings.service_kind == ServiceKind::AgentPools {
-            let known_silent = far.silent_since.is_some();
-            (far.delay, far.news) = (Some((took, now)), true);
+        let Some(exchange) = self.exchanges.get_mut(&exchange_id) else { return };
+        if exchange.entry.number == dest || self.settings.service_kind == ServiceKind::AgentPools {
+            let already_silent = exchange.silent_since.is_some();
+            (exchange.delay_sample, exchange.has_new_sample) = (Some((elapsed, now)), true);
             // Where the own processor may have held the set-up, its silence says nothing of the far end.
-            if own_wait < took / 2.0 {
-                far.silent_since.get_or_insert(now);
+            if own_wait < elapsed / 2.0 {
+                exchange.silent_since.get_or_insert(now);
             }
-            if !known_silent {
-                self.learn_own(took, now);
+            if !already_silent {
+                self.record_own_wait(elapsed, now);
             }
         }
-        self.refresh(office, now);
+        self.update_levels(exchange_id, now);
     }
 
-    fn learn_full(&mut self, now: Time, office: ExchangeId, named: Option<Secs>) {
-        let Some(far) = self.fars.get_mut(&office) else { return };
-        far.overload.raise(now);
-        far.silent_since = None;
-        far.paused_until = now + named.unwrap_or(0.0).max(self.tuning.full_pause);
+    fn record_full_processor(&mut self, now: Time, exchange_id: ExchangeId, retry_after: Option<Secs>) {
+        let Some(exchange) = self.exchanges.get_mut(&exchange_id) else { return };
+        exchange.overload.raise(now);
+        exchange.silent_since = None;
+        exchange.paused_until = now + retry_after.unwrap_or(0.0).max(self.tuning.full_pause);
     }
 
     /// Redials multiply the load of a number whose lines are all busy: gap it, twice as long each time.
-    fn gap(&mut self, now: Time, number: Option<String>) {
+    fn gap_number(&mut self, now: Time, number: Option<String>) {
         let Some(number) = number else { return };
-        let most = self.tuning.gap_aims * self.aim;
-        self.gaps.retain(|_, (until, _)| now - *until < most);
-        let length = self.gaps.get(&number).map_or(self.aim, |(_, length)| (2.0 * length).min(most));
+        let longest = self.tuning.gap_aims * self.shortest_target;
+        self.gaps.retain(|_, (until, _)| now - *until < longest);
+        let length =
+            self.gaps.get(&number).map_or(self.shortest_target, |(_, length)| (2.0 * length).min(longest));
         self.gaps.insert(number, (now + length, length));
     }
 
-    fn on_timer(&mut self, now: Time, token: TimerToken, out: &mut Vec<Action>) {
+    fn on_timer(&mut self, now: Time, token: TimerToken, actions: &mut Vec<Action>) {
         match self.timers.remove(&token) {
-            Some(Some(id)) => self.advance(now, &id, out),
-            Some(None) => out.push(Action::Subscribe),
+            Some(Some(id)) => self.attempt_or_conclude(now, &id, actions),
+            Some(None) => actions.push(Action::Subscribe),
             None => {}
         }
     }
 
-    fn timer(&mut self, after: Secs, call: Option<CallId>, out: &mut Vec<Action>) {
+    fn start_timer(&mut self, after: Secs, call: Option<CallId>, actions: &mut Vec<Action>) {
         let token = TimerToken(self.next_token);
         self.next_token += 1;
         self.timers.insert(token, call);
-        out.push(Action::Timer { after: after.max(0.0), token });
+        actions.push(Action::Timer { after: after.max(0.0), token });
     }
 
     /// The final answer: refused where the rules let it, else failed.
-    fn conclude(&mut self, id: &CallId, reason: Refusal, out: &mut Vec<Action>) {
+    fn conclude(&mut self, id: &CallId, reason: Refusal, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(id) else { return };
         if let (Some(number), false) = (&call.arrival.number, call.arrival.transit) {
-            let (now, longest) = (call.arrived, 2.0 * self.class_aim(&call.arrival));
-            self.turned_away.retain(|_, at| now - *at < longest);
-            self.turned_away.entry(number.clone()).or_insert(now);
+            let (now, longest) = (call.arrived_at, 2.0 * self.class_target(&call.arrival));
+            self.first_refusals.retain(|_, at| now - *at < longest);
+            self.first_refusals.entry(number.clone()).or_insert(now);
         }
         let class = self.settings.classes.get(call.arrival.class.0);
         let refusable = call.may_have_run.is_none()
-            || class.is_none_or(|c| {
+            || class.is_none_or(|class| {
                 matches!(
-                    c.repeat_semantics,
+                    class.repeat_semantics,
                     RepeatSemantics::Idempotent | RepeatSemantics::Deduplicated(DuplicateScope::All)
                 )
             });
-        out.push(if refusable {
+        actions.push(if refusable {
             // A call refused early may yet stand in its aim if the caller is back soon; a number whose lines
             // are all busy is better left alone.
-            let gapped = self.gapped(&call.arrival, call.arrived);
-            let wait = if gapped { f64::INFINITY } else { self.tuning.cool_down_aims * self.aim };
-            let cool_down = self.settings.cool_down_allowed.then_some(wait.min(self.settings.max_cool_down));
+            let gapped = self.is_gapped(&call.arrival, call.arrived_at);
+            let suggested_wait =
+                if gapped { f64::INFINITY } else { self.tuning.cool_down_aims * self.shortest_target };
+            let cool_down =
+                self.settings.cool_down_allowed.then_some(suggested_wait.min(self.settings.max_cool_down));
             Action::Refuse { id: id.clone(), cool_down, reason }
         } else {
             Action::Fail(id.clone())
         });
-        self.forget(id);
+        self.remove_call(id);
     }
 
-    fn forget(&mut self, id: &CallId) {
-        if let Some(Call { stage: Stage::Out { office, .. }, .. }) = self.calls.remove(id) {
-            if let Some(far) = self.fars.get_mut(&office) {
-                far.settle(id, false);
+    fn remove_call(&mut self, id: &CallId) {
+        if let Some(Call { stage: Stage::Attempting { exchange_id, .. }, .. }) = self.calls.remove(id) {
+            if let Some(exchange) = self.exchanges.get_mut(&exchange_id) {
+                exchange.remove_unanswered(id, false);
             }
         }
     }
