--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,11 +1,13 @@
-//! Every routing and admission decision of one call server. Its settings, events and actions are the
-//! types of `src/interface.rs`. Pure: no clock but the caller's, no randomness but the seed's.
+//! The routing and admission decisions of one signalling proxy.
+//!
+//! [`Controller`] takes the events and returns the actions of `src/interface.rs`. It performs no input or output: the
+//! time comes with each event, and all random draws derive from one seed, so that equal events give equal actions.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::*;
 
-// ---- Tuned values, as Tuning describes them, and fixed ones --------------------------------------
+// ---- Default tuning and constants ----------------------------------------------------------------
 
 impl Default for Tuning {
     fn default() -> Self {
@@ -37,33 +39,42 @@
     }
 }
 
-/// Slowest set-up rate taken at its word, against divisions by nothing.
+/// Lowest set-up rate that is used as a divisor, in set-ups a second; it guards against a division by zero.
 const MIN_RATE: f64 = 1e-3;
-/// How many ends of set-ups in a row tell of the own processor: that many far ends are rarely slow at once.
+/// Number of the latest set-up results from which the wait at the own processor is estimated. So many far exchanges
+/// are rarely slow at the same time, so a delay that all these results share arises at the own processor.
 const OWN_WAIT_SAMPLES: usize = 6;
-/// First tries bring the same time to live to within one slot of this length.
+/// Width of the slots by which times to live are counted; those of first set-ups in a class differ by one slot at
+/// most.
 const TTL_SLOT: Secs = 0.05;
 
 // ---- Overload level ----------------------------------------------------------------------------
 
-/// How a first set-up is treated under overload.
+/// The admission priority of a call under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Priority {
+    /// Refused at level 4 only.
     Urgent,
+    /// Refused at the share of the level.
     Normal,
-    /// A caller's repeat mostly stands late: any level refuses it before a first try is.
+    /// Refused at every level above 0, before any first set-up: most redials are established after their target
+    /// time and earn less.
     Redial,
 }
 
-/// The four-level state of one processor: two thresholds a level, stepped refusal.
+/// The overload level of one processor, 0 to 4. Each level has an onset and an abatement threshold and refuses a fixed
+/// share of the calls.
 #[derive(Clone, Debug, Default)]
 struct Overload {
     level: usize,
+    /// The time of the last observation, or of the last step of [`Overload::decay`].
     observed_at: Time,
+    /// The sum of the refusal shares of the normal calls since the last refusal.
     refusal_accumulator: f64,
 }
 
 impl Overload {
+    /// Sets the level from the wait at the processor. `onset` is the onset of level 1; it doubles with each level.
     fn observe(&mut self, wait: Secs, onset: Secs, abate: f64, now: Time) {
         let onset_of = |level: usize| onset * (1 << level) as f64;
         while self.level < 4 && wait >= onset_of(self.level) {
@@ -75,12 +86,13 @@
         self.observed_at = now;
     }
 
-    /// 'Processor full' passes the next onset whatever the estimate says.
+    /// Steps up by one level, for a "processor full" response: it shows overload whatever wait has been estimated.
     fn raise(&mut self, now: Time) {
         self.level = (self.level + 1).min(4);
         self.observed_at = now;
     }
 
+    /// Steps down by one level for each `interval` without an observation.
     fn decay(&mut self, interval: Secs, now: Time) {
         while self.level > 0 && interval > 0.0 && now - self.observed_at > interval {
             self.level -= 1;
@@ -88,7 +100,8 @@
         }
     }
 
-    /// Refusals are spread evenly: each normal call adds its share to a debt that one refusal pays.
+    /// Decides whether to refuse a call. Refusals of normal calls are spread evenly: each call adds the share of the
+    /// level to an accumulator, and the call that brings it to 1 is refused and takes 1 off.
     fn refuses(&mut self, priority: Priority, shares: &[f64; 5]) -> bool {
         let share = shares[self.level];
         match (priority, self.level) {
@@ -106,31 +119,40 @@
     }
 }
 
-// ---- Processor estimate ------------------------------------------------------------------------
+// ---- State of an exchange ----------------------------------------------------------------------
 
-/// What is known of one office: its list entry, the trunk group to it, its processor.
+/// The state of one exchange as this proxy sees it: its roster entry, the trunk group to it and its processor.
 #[derive(Clone, Debug, Default)]
 struct ExchangeState {
     entry: RosterEntry,
+    /// Free circuits of the trunk group, as last reported.
     free_circuits: Option<f64>,
+    /// Circuits of the trunk group, as last reported.
     group_size: Option<f64>,
     overload: Overload,
+    /// The duration of the latest direct set-up, or the time after which it was abandoned, and when it ended.
     delay_sample: Option<(Secs, Time)>,
-    /// The quickest set-up there: distance and work, which are no wait.
+    /// The shortest duration of a direct set-up: transmission and processing without any wait.
     min_delay: Option<Secs>,
+    /// The wait at the processor according to its reports, and when that value last changed.
     reported_wait: Option<(Secs, Time)>,
+    /// Set-ups a second that the processor can take, as last reported.
     set_up_rate: Option<f64>,
+    /// The highest reported set-up rate.
     max_set_up_rate: f64,
-    /// A sample or report has come since the level last looked at them.
+    /// A delay sample or load report has arrived since the overload level was last updated.
     has_new_sample: bool,
-    /// Unanswered set-ups, when they were sent, and whether they end there.
+    /// The unanswered set-ups: the call, the send time on the active clock, and whether the set-up is direct: this
+    /// exchange is its destination, or a pool of agents.
     unanswered: Vec<(CallId, Time, bool)>,
-    /// The latest sending that ended there and stands: a line goes in its order, so what was sent there
-    /// before and has no answer is lost and tells of no wait.
+    /// The send time of the latest direct set-up that was established. The exchange answers direct set-ups in their
+    /// order, so an earlier one without an answer is lost and says nothing about the wait.
     last_answered_sent_at: Time,
+    /// Since when set-ups to the exchange have had no answer.
     silent_since: Option<Time>,
+    /// Until when no set-up is sent.
     paused_until: Time,
-    /// Set-ups that may still go there while it is cold, and when that was so.
+    /// Set-ups that may still be sent while the exchange is cold, as of `cold_credit_at`.
     cold_credit: f64,
     cold_credit_at: Time,
 }
@@ -145,14 +167,14 @@
         self.entry.state == ServiceState::InService
     }
 
-    /// Set-ups out that nothing sent later has overtaken.
+    /// The send times of the unanswered set-ups, without those that an answer to a later one has overtaken.
     fn awaiting_answer(&self) -> impl Iterator<Item = Time> + '_ {
         let not_overtaken =
             |(_, sent_at, direct): &&(CallId, Time, bool)| !direct || *sent_at >= self.last_answered_sent_at;
         self.unanswered.iter().filter(not_overtaken).map(|(_, sent_at, _)| *sent_at)
     }
 
-    /// Takes a set-up off the unanswered ones; returns whether it had been overtaken.
+    /// Removes a set-up from the unanswered ones; returns whether an answer to a later one had overtaken it.
     fn remove_unanswered(&mut self, id: &CallId, established: bool) -> bool {
         let Some(index) = self.unanswered.iter().position(|(call_id, ..)| call_id == id) else {
             return false;
@@ -165,10 +187,12 @@
         overtaken
     }
 
+    /// The age of the oldest unanswered set-up, 0 without any.
     fn oldest_age(&self, active_clock: Time) -> Secs {
         self.awaiting_answer().map(|sent_at| active_clock - sent_at).fold(0.0, f64::max)
     }
 
+    /// Takes over a load report. `onset` is the onset of level 1.
     fn apply_report(&mut self, report: &LoadReport, now: Time, onset: Secs) {
         self.free_circuits = report.free_circuits.or(self.free_circuits);
         self.group_size = report.group_size.or(self.group_size);
@@ -176,12 +200,13 @@
         self.max_set_up_rate = self.max_set_up_rate.max(report.set_up_rate.unwrap_or(0.0));
         let queue_wait = match (report.queued_messages, report.set_up_rate) {
             (Some(messages), Some(rate)) => Some(messages / rate.max(MIN_RATE)),
-            // No queue is reported: a processor at half of its best rate takes an onset longer, and so on.
+            // Without a reported queue the rate stands for a wait: one onset at half of the highest rate, two at a
+            // third, and so on.
             (None, Some(rate)) => Some((self.max_set_up_rate / rate.max(MIN_RATE) - 1.0) * onset),
             _ => None,
         };
         if let Some(wait) = report.queueing_delay.or(queue_wait) {
-            // A report that stops moving is old: it keeps the time at which it last changed.
+            // A value that never changes is out of date, so an equal value does not renew the time.
             if self.reported_wait.is_none_or(|(old, _)| old != wait) {
                 self.reported_wait = Some((wait, now));
                 self.has_new_sample = true;
@@ -189,14 +214,16 @@
         }
     }
 
-    /// How much longer than ever before our set-ups take here, or the oldest unanswered one is out: silence
-    /// is wait.
+    /// The wait at the processor as this proxy measures it: by how much the latest set-up took longer than the
+    /// shortest one, or the oldest unanswered one has been pending longer; a missing answer counts as wait. `None`
+    /// without a recent sample or an unanswered set-up.
     fn measured_wait(&self, now: Time, active_clock: Time, lifetime: Secs) -> Option<Secs> {
         let sample = self.delay_sample.filter(|(_, at)| now - *at <= lifetime).map(|(delay, _)| delay);
         let longest = self.oldest_age(active_clock).max(sample.unwrap_or(0.0));
         (longest > 0.0 || sample.is_some()).then(|| (longest - self.min_delay.unwrap_or(0.0)).max(0.0))
     }
 
+    /// The reported wait, unless it is older than `lifetime`.
     fn recent_reported_wait(&self, now: Time, lifetime: Secs) -> Option<Secs> {
         self.reported_wait.filter(|(_, at)| now - *at <= lifetime).map(|(wait, _)| wait)
     }
@@ -204,74 +231,84 @@
 
 // ---- Calls -------------------------------------------------------------------------------------
 
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// No attempt is out; sent again no earlier than the release allows.
+    /// No attempt is pending; the next one starts at [`Call::not_before`] at the earliest.
     BetweenAttempts,
-    Attempting {
-        exchange_id: ExchangeId,
-        leg: u32,
-        sent_at: Time,
-    },
+    /// An attempt is pending.
+    Attempting { exchange_id: ExchangeId, leg: u32, sent_at: Time },
+    /// The call is established.
     Established,
 }
 
+/// A call that this proxy is setting up or has set up.
 #[derive(Clone, Debug)]
 struct Call {
     arrival: Arrival,
     arrived_at: Time,
+    /// When the caller stops waiting.
     deadline: Time,
+    /// The number of attempts so far.
     attempts: u32,
     stage: Stage,
+    /// The earliest time of the next attempt, which leaves the exchange time to release the previous one.
     not_before: Time,
     tried_exchanges: Vec<ExchangeId>,
-    /// The first attempt that may have run: where and when.
+    /// The first attempt that may have run: its exchange and its send time.
     may_have_run: Option<(ExchangeId, Time)>,
 }
 
-/// The decisions of one call server.
+/// The decision module of one signalling proxy.
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
     tuning: Tuning,
     rng: fastrand::Rng,
+    /// The shortest set-up target of the classes; the unit of many tuning values.
     shortest_target: Secs,
     exchanges: BTreeMap<ExchangeId, ExchangeState>,
-    /// The office in service under each number; the youngest where a replacement overlaps the old one.
+    /// The exchange in service under each number; the one that started last while a replacement and its predecessor
+    /// overlap.
     in_service_by_number: BTreeMap<ExchangeNumber, ExchangeId>,
+    /// The overload level of the own processor.
     own_overload: Overload,
-    /// The last few ends of set-ups: how much longer than the quickest they took, and when they came.
+    /// The latest set-up results: by how much each took longer than the shortest, and when it arrived.
     own_wait_samples: VecDeque<(Secs, Time)>,
+    /// A result or report on the own processor has arrived since its overload level was last updated.
     own_has_new_sample: bool,
     calls: BTreeMap<CallId, Call>,
+    /// The running timers: for the next attempt of a call, or (`None`) for the next subscription to the roster.
     timers: BTreeMap<TimerToken, Option<CallId>>,
     next_token: u64,
+    /// The weight of each tandem (second number) for each destination (first number), up to 1.
     tandem_weights: BTreeMap<(ExchangeNumber, ExchangeNumber), f64>,
-    /// Call gapping of numbers whose lines were all busy: until when, and how long.
+    /// Call gapping of numbers whose lines were all busy: the end of the gap, and its length.
     gaps: BTreeMap<String, (Time, Secs)>,
-    /// When the first try to a number was refused here, for as long as its callers may still be in time.
+    /// The arrival time of the first refused set-up to each number; kept for two targets, while its callers may still
+    /// redial in time.
     first_refusals: BTreeMap<String, Time>,
-    /// How often each length of a try was seen, by class and in twentieths of a second.
+    /// How often each time to live has occurred, by class and slot of [`TTL_SLOT`].
     ttl_counts: BTreeMap<(ClassIndex, i64), u32>,
-    /// Arrivals a second here, a running mean, for the size of a processor.
+    /// The running mean of the arrivals a second at this proxy, from which the capacity of a processor is estimated.
     offered_rate: f64,
-    /// The quickest direct set-up seen.
+    /// The shortest duration of a direct set-up to any exchange.
     min_set_up_delay: Secs,
     last_arrival_at: Time,
-    /// The last event, and a clock that stands still while this call server does: ages are read on it.
     last_event_at: Time,
+    /// A clock that stops while this proxy is stalled. The ages of unanswered set-ups are measured on it.
     active_clock: Time,
-    /// When the own processor was last asked for a report.
+    /// When the own processor was last probed.
     probed_at: Time,
 }
 
 impl Controller {
-    /// A controller that knows nothing but its settings.
+    /// Creates a controller with the default tuning.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self::tuned(settings, Tuning::default(), seed)
     }
 
-    /// The same with other tuned values.
+    /// Creates a controller with the given tuning.
     pub fn tuned(settings: Settings, tuning: Tuning, seed: u64) -> Self {
         let targets = settings.classes.iter().map(|class| class.target).filter(|target| *target > 0.0);
         let shortest_target = targets.fold(f64::INFINITY, f64::min);
@@ -301,7 +338,7 @@
         }
     }
 
-    /// Called once, before any event.
+    /// Starts the controller; call this once, before the first event.
     pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.own_overload.observed_at = now;
         (self.last_arrival_at, self.last_event_at, self.active_clock) = (now, now, now);
@@ -310,9 +347,10 @@
         }
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        // After a stall of this call server much comes at once: its age is not the processors' wait.
+        // After a stall of this proxy many events arrive at once. Their age is no wait at a processor, so the active
+        // clock advances by the upper bound of onset 1 at most.
         self.active_clock = self.active_clock
             + (now - self.last_event_at).clamp(0.0, self.tuning.onset_max * self.shortest_target);
         self.last_event_at = now;
@@ -337,7 +375,7 @@
         }
     }
 
-    /// The level of the own processor, and those of far ones in service.
+    /// The overload level of the own processor, and those of all exchanges in service by number.
     pub fn levels(&self) -> (usize, Vec<(ExchangeNumber, usize)>) {
         let far_level = |(number, id): (&ExchangeNumber, &ExchangeId)| {
             self.exchanges.get(id).map(|exchange| (*number, exchange.overload.level))
@@ -345,8 +383,9 @@
         (self.own_overload.level, self.in_service_by_number.iter().filter_map(far_level).collect())
     }
 
-    // ---- Guards: the list, drains, cold starts, release ----------------------------------------
+    // ---- Roster, cold starts, repeats -----------------------------------------------------------
 
+    /// Takes over a roster message; retries after a quarter of the poll interval if the request for it failed.
     fn on_roster(
         &mut self,
         now: Time,
@@ -375,7 +414,8 @@
                     self.exchanges.entry(new.entry.id).and_modify(|exchange| exchange.entry = new.entry);
                     continue;
                 }
-                // A new start: the group is the same, but the old processor's wait says nothing of this one.
+                // A restarted or replaced exchange keeps its trunk group; the wait at the old processor says nothing
+                // about the new one.
                 (new.free_circuits, new.group_size, new.max_set_up_rate) =
                     (old.free_circuits, old.group_size, old.max_set_up_rate);
                 if old.entry.id == new.entry.id {
@@ -395,7 +435,7 @@
                 *latest = exchange.entry.id;
             }
         }
-        // Replaced offices never come back: keep none but those with a set-up still out.
+        // A replaced exchange never returns, so its state is kept only while a set-up to it is unanswered.
         let in_service_by_number = &self.in_service_by_number;
         self.exchanges.retain(|_, exchange| {
             let replaced = exchange.entry.state == ServiceState::Removed
@@ -404,17 +444,20 @@
         });
     }
 
+    /// The exchange in service under a number.
     fn exchange_in_service(&self, number: ExchangeNumber) -> Option<ExchangeId> {
         self.in_service_by_number.get(&number).copied()
     }
 
+    /// Whether an exchange has started so recently that it may still be cold.
     fn is_cold(&self, exchange: &ExchangeState, now: Time) -> bool {
         exchange.entry.ready_at.is_some_and(|at| now - at < self.settings.warm_up_time)
     }
 
-    /// Set-ups in a span of `fall` that this instance may send to a cold office: its share of what all
-    /// together may. A reported rate is only what is left beside other work, so the largest sign counts: its
-    /// best report, the traffic here, the quickest set-up, and a set-up in the longest onset 1.
+    /// The number of set-ups that this proxy may send to a cold exchange within `collapse_time`: its share of what
+    /// the whole fleet may send. A reported rate is only the capacity left beside other work, so the capacity is the
+    /// largest of four estimates: the highest reported rate, twice the call rate at this proxy, the rate that the
+    /// shortest set-up implies, and one set-up in the upper bound of onset 1.
     fn cold_allowance(&self, exchange: &ExchangeState) -> f64 {
         let settings = &self.settings;
         let lowest = 1.0 / (self.tuning.onset_max * self.shortest_target);
@@ -422,7 +465,7 @@
         let capacity = exchange.max_set_up_rate.max(2.0 * self.offered_rate).max(measured).max(lowest);
         let fleet_allowance =
             settings.collapse_multiple * settings.cold_share * capacity * settings.collapse_time;
-        // A processor's own call server gives it about half of its work, the others share the rest.
+        // About half of the work of a processor comes from its own proxy; the other proxies share the rest.
         let others = f64::from(settings.proxies.saturating_sub(1).max(1));
         let own_share = self.tuning.own_processor_share;
         let proxy_share = if Some(exchange.entry.number) == settings.own_exchange {
@@ -433,23 +476,26 @@
         (fleet_allowance * proxy_share).max(0.0)
     }
 
-    /// What is left of that share. It fills over time and starts at a random part of one set-up, so that of a
-    /// large fleet, where each has far less than one, not all send their first at once.
+    /// The set-ups that this proxy may now send to a cold exchange: a token bucket that refills at the rate of
+    /// [`Controller::cold_allowance`]. In a large fleet the allowance of each proxy is far below one set-up; such a
+    /// bucket starts with a random part of one, so that the proxies do not all send their first set-up at once.
     fn available_cold_credit(&self, exchange: &ExchangeState, now: Time) -> f64 {
         let allowance = self.cold_allowance(exchange);
         let refill = allowance * (now - exchange.cold_credit_at) / self.settings.collapse_time.max(1e-3);
         (exchange.cold_credit + refill).min((allowance / 2.0).max(1.0))
     }
 
+    /// Whether an exchange is cold and the credit does not cover another set-up.
     fn cold_credit_exhausted(&self, exchange: &ExchangeState, now: Time) -> bool {
         self.is_cold(exchange, now) && self.available_cold_credit(exchange, now) < 1.0
     }
 
+    /// The exchange that this proxy serves, while it is in service.
     fn own_exchange_id(&self) -> Option<ExchangeId> {
         self.settings.own_exchange.and_then(|number| self.exchange_in_service(number))
     }
 
-    /// Whether the rules on repeats let this call go to this office now.
+    /// Whether the repeat semantics of its class allow a call to be sent to an exchange now.
     fn repeat_allowed(&self, call: &Call, exchange: &ExchangeState, now: Time) -> bool {
         let Some((first_id, sent_at)) = call.may_have_run else { return true };
         let class = &self.settings.classes[call.arrival.class.0];
@@ -467,11 +513,12 @@
             }
     }
 
-    // ---- Levels seen from here -----------------------------------------------------------------
+    // ---- Overload levels ------------------------------------------------------------------------
 
-    /// Set-ups a second of a warm processor, once known: as reported, else by the quickest set-up seen, which
-    /// passed two of them, and the traffic here, about half of what a processor looks at. The traffic alone
-    /// says too little: a call server with few callers is no sign of slow processors.
+    /// The capacity of a warm processor in set-ups a second, once it can be estimated: the mean of the reported rates,
+    /// or else the larger of two estimates. The shortest set-up passed two processors, which gives a rate of two in
+    /// its duration; and the call rate at this proxy is about half of the work of a processor. The call rate alone
+    /// does not suffice: a proxy with few callers does not mean slow processors.
     fn processor_rate(&self, now: Time) -> Option<f64> {
         let rates = self
             .exchanges
@@ -488,18 +535,22 @@
         }
     }
 
+    /// The onset of level 1: the time in which a processor works off `depth` set-ups, within the bounds of the tuning;
+    /// the upper bound until the capacity is known.
     fn onset(&self, now: Time) -> Secs {
         let (shortest, longest) =
             (self.tuning.onset_min * self.shortest_target, self.tuning.onset_max * self.shortest_target);
         self.processor_rate(now).map_or(longest, |rate| (self.tuning.depth / rate).clamp(shortest, longest))
     }
 
+    /// The time for which a delay sample or load report counts.
     fn sample_lifetime(&self) -> Secs {
         self.tuning.fresh_aims * self.shortest_target
     }
 
-    /// The wait at the own processor, which every set-up of ours passes: the quickest of the last few ends of
-    /// set-ups bounds it, whatever far ends they went to, and so does the age of the last unanswered ones.
+    /// The wait at the own processor. Every set-up from this proxy passes it, so two values bound the wait, whatever
+    /// the destinations: the smallest excess delay among the latest set-up results, and the excess age of the
+    /// [`OWN_WAIT_SAMPLES`]th oldest unanswered set-up. Set-ups to silent exchanges are left out.
     fn own_wait(&self, now: Time) -> Option<Secs> {
         let lifetime = self.sample_lifetime();
         let samples =
@@ -520,7 +571,7 @@
             .reduce(f64::max)
     }
 
-    /// The end of a set-up, as far as it tells of the own processor.
+    /// Records the excess delay of a set-up result as a sample of the wait at the own processor.
     fn record_own_wait(&mut self, wait: Secs, now: Time) {
         self.own_has_new_sample = true;
         self.own_wait_samples.push_back((wait.max(0.0), now));
@@ -529,25 +580,27 @@
         }
     }
 
-    /// Brings the own level and that of one office up to date.
+    /// Updates the overload levels of the own processor and of one exchange.
     fn update_levels(&mut self, exchange_id: ExchangeId, now: Time) {
         let own_wait = self.update_own_level(now);
         self.update_exchange_level(exchange_id, own_wait, now);
     }
 
-    /// The own level; returns the own wait, which is not to be blamed on far ends.
+    /// Updates the overload level of the own processor. Returns the wait there, so that it can be subtracted from the
+    /// delays of other exchanges.
     fn update_own_level(&mut self, now: Time) -> Secs {
         let onset = self.onset(now);
         let own_exchange = self.own_exchange_id().and_then(|id| self.exchanges.get(&id));
         let reported =
             own_exchange.and_then(|exchange| exchange.recent_reported_wait(now, self.sample_lifetime()));
         let own_wait = self.own_wait(now).into_iter().chain(reported).reduce(f64::max);
-        // Until a speed is known, as after a restart, a count tells no wait.
+        // Until the capacity is known, for example after a restart, a number of set-ups gives no wait.
         let set_up_time = self.processor_rate(now).map_or(0.0, |rate| 1.0 / rate);
         let answering = self.exchanges.values().filter(|exchange| exchange.silent_since.is_none());
         let unanswered_count: usize = answering.map(|exchange| exchange.awaiting_answer().count()).sum();
         let queue_wait = self.tuning.own_processor_share * unanswered_count as f64 * set_up_time;
-        // Ends of set-ups known before say nothing new: while all is refused no others come.
+        // Samples that were used before are no new observation. While every call is refused no new ones arrive, and the
+        // level has to decay.
         let has_new_sample = std::mem::take(&mut self.own_has_new_sample) || unanswered_count > 0;
         match own_wait {
             Some(wait) if has_new_sample => {
@@ -559,6 +612,8 @@
         own_wait.unwrap_or(0.0)
     }
 
+    /// Updates the overload level of an exchange. A recent load report takes precedence over the measured wait; the
+    /// unanswered set-ups bound both from below.
     fn update_exchange_level(&mut self, exchange_id: ExchangeId, own_wait: Secs, now: Time) {
         let (target, lifetime, onset) = (self.shortest_target, self.sample_lifetime(), self.onset(now));
         let (active_clock, set_up_time) =
@@ -573,6 +628,7 @@
         let wait =
             exchange.recent_reported_wait(now, lifetime).or(measured).map(|wait| wait.max(unanswered_wait));
         let has_new_sample = std::mem::take(&mut exchange.has_new_sample);
+        // Without a new sample, only unanswered set-ups can show an overload.
         match wait {
             Some(wait) if has_new_sample || wait >= onset && unanswered_wait >= wait => {
                 exchange.overload.observe(wait, onset, self.tuning.abate, now);
@@ -581,9 +637,10 @@
         }
     }
 
-    /// Whether the state of an office bars a set-up now: draining, paused, cold and spent, or silent.
+    /// Whether an exchange takes no set-up now: it is not in service (for example draining), paused, cold without
+    /// credit, or silent.
     fn unavailable(&self, exchange: &ExchangeState, now: Time) -> bool {
-        // A silent processor gets one trial call at a time: set-ups must not pour into a hung one.
+        // A silent exchange receives one trial call at a time, so that set-ups do not pile up at a hung processor.
         let silent = exchange.silent_since.is_some() && exchange.awaiting_answer().next().is_some();
         !exchange.in_service()
             || now < exchange.paused_until
@@ -593,8 +650,9 @@
 
     // ---- Admission -----------------------------------------------------------------------------
 
-    /// Callers that do not mark redials still show them: first tries all bring the same time to live,
-    /// later ones what is left of the give-up time. The commonest length seen is taken for the first try's.
+    /// Whether a call is a redial, marked or not. The first set-ups of a class all carry the same time to live, and a
+    /// redial carries what is left of the time after which its caller gives up. The most frequent time to live of the
+    /// class is therefore taken as that of first set-ups.
     fn is_likely_redial(&mut self, arrival: &Arrival) -> bool {
         if arrival.transit || arrival.re_established || arrival.redial {
             return arrival.redial;
@@ -607,12 +665,14 @@
         count > 1 && (slot - usual_slot).abs() > 1
     }
 
-    /// A redial whose first try was refused here less than its aim ago can still earn its full worth.
+    /// Whether the first set-up to the dialled number was refused here so recently that a redial can still be
+    /// established within the target and earn its full worth.
     fn within_first_target(&self, arrival: &Arrival, now: Time) -> bool {
         let first_refused_at = arrival.number.as_ref().and_then(|number| self.first_refusals.get(number));
         first_refused_at.is_some_and(|at| now - *at < self.class_target(arrival) - self.onset(now))
     }
 
+    /// Admits a call and starts its first attempt, or refuses it.
     fn on_arrival(&mut self, now: Time, mut arrival: Arrival, actions: &mut Vec<Action>) {
         arrival.redial = self.is_likely_redial(&arrival) && !self.within_first_target(&arrival, now);
         let interval = (now - self.last_arrival_at).max(1e-3);
@@ -638,6 +698,8 @@
         }
     }
 
+    /// The priority of a call. It is urgent if it is re-established after a cut, or if its class is worth more than the
+    /// lowest one.
     fn priority(&self, arrival: &Arrival) -> Priority {
         let worth = |index: usize| self.settings.classes.get(index).map_or(0.0, |class| class.worth);
         let lowest = self.settings.classes.iter().map(|class| class.worth).fold(f64::INFINITY, f64::min);
@@ -649,11 +711,12 @@
         }
     }
 
-    /// Why a request is refused before anything is sent, if it is: first set-ups at the share of the own and the far
-    /// processor's level.
+    /// The reason to refuse a new call before anything is sent, if there is one. Under overload the levels of the own
+    /// processor and of the destination each refuse their share.
     fn refusal(&mut self, call: &Call, now: Time, actions: &mut Vec<Action>) -> Option<Refusal> {
         let arrival = &call.arrival;
-        // A call to a number of the own exchange has no office to go to: a send to oneself is a fault.
+        // A call to a number of the own exchange has no other exchange as its destination, and a proxy must not send to
+        // its own exchange.
         let to_self = self.settings.own_exchange == Some(arrival.dest);
         if to_self || arrival.class.0 >= self.settings.classes.len() {
             return Some(Refusal::Unroutable);
@@ -689,6 +752,7 @@
         exchange.overload.refuses(priority, &self.tuning.refused).then_some(Refusal::FarOverload)
     }
 
+    /// Takes over a load report or the failure of a probe.
     fn on_status(&mut self, now: Time, exchange_id: ExchangeId, ok: bool, report: &LoadReport) {
         let onset = self.onset(now);
         self.own_has_new_sample |= self.own_exchange_id() == Some(exchange_id);
@@ -701,6 +765,7 @@
         }
     }
 
+    /// Whether the dialled number of a call is gapped.
     fn is_gapped(&self, arrival: &Arrival, now: Time) -> bool {
         let gap = arrival.number.as_ref().and_then(|number| self.gaps.get(number));
         gap.is_some_and(|(until, _)| now < *until)
@@ -708,21 +773,25 @@
 
     // ---- Route choice --------------------------------------------------------------------------
 
+    /// Trunk reservation: the circuits to an exchange that transit calls, redials and tandem calls leave free.
     fn reserved_circuits(&self, exchange: &ExchangeState) -> f64 {
         let size = exchange.group_size.unwrap_or(0.0).max(0.0);
         (self.tuning.reserve * size.sqrt()).ceil().min((self.tuning.most_reserved * size).floor())
     }
 
+    /// Whether a trunk group has `width` free circuits beyond the reserved ones, or its state is unknown.
     fn has_room(exchange: &ExchangeState, width: u32, reserved: f64) -> bool {
         exchange.free_circuits.is_none_or(|free| free - reserved >= f64::from(width))
     }
 
-    /// Direct while the group has room, else over a tandem.
+    /// Chooses the exchange for the next attempt: the destination while its trunk group has room, otherwise a tandem.
+    /// Transit calls and redials take no tandem.
     fn choose_route(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
         let arrival = &call.arrival;
         let dest_id = self.exchange_in_service(arrival.dest);
         if let Some(exchange) = dest_id.and_then(|id| self.exchanges.get(&id)) {
-            // A marked redial mostly stands late: it must not take the last circuits from first tries.
+            // Most redials are established after their target time: they must not take the last circuits from first
+            // set-ups.
             let reserved =
                 if arrival.transit || arrival.redial { self.reserved_circuits(exchange) } else { 0.0 };
             let fits = Self::has_room(exchange, arrival.width, reserved) && !self.unavailable(exchange, now);
@@ -738,8 +807,8 @@
         self.choose_tandem(call, now)
     }
 
-    /// A weighted draw of the tandems whose leg has more than the reserve free. A call over a tandem is
-    /// work for a third processor, so only processors at no overload take part.
+    /// Draws a tandem at random by weight, among those whose trunk group has room beyond the reservation. A call over a
+    /// tandem is work for a third processor, so the own processor and the tandem must both be at level 0.
     fn choose_tandem(&mut self, call: &Call, now: Time) -> Option<ExchangeId> {
         let own_wait = self.update_own_level(now);
         if self.own_overload.level > 0 {
@@ -793,6 +862,8 @@
         drawn.or(candidate_weights.last()).map(|(id, _)| *id)
     }
 
+    /// Raises the weight of a tandem for a destination after a success, and lowers it after a failure. Direct attempts
+    /// have no weight.
     fn adjust_tandem_weight(&mut self, dest: ExchangeNumber, tandem: ExchangeId, success: bool) {
         let Some(number) = self.exchanges.get(&tandem).map(|exchange| exchange.entry.number) else { return };
         if number == dest {
@@ -808,11 +879,13 @@
 
     // ---- Attempt life cycle --------------------------------------------------------------------
 
+    /// The set-up target of the class of a call.
     fn class_target(&self, arrival: &Arrival) -> Secs {
         self.settings.classes.get(arrival.class.0).map_or(self.shortest_target, |class| class.target)
     }
 
-    /// Sends a held call, or gives its final answer where nothing is left to try in time.
+    /// Starts the next attempt of a call that has none pending. Starts a timer if the release pause is not over, and
+    /// gives the final answer if no attempt is left or none could succeed in time.
     fn attempt_or_conclude(&mut self, now: Time, id: &CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(id).filter(|call| call.stage == Stage::BetweenAttempts).cloned()
         else {
@@ -842,6 +915,8 @@
         }
     }
 
+    /// Starts an attempt: records it, takes the cold credit of the own exchange and of the receiver, and sends the
+    /// set-up.
     fn send_set_up(&mut self, now: Time, id: &CallId, exchange_id: ExchangeId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let target = self
@@ -869,6 +944,8 @@
         actions.push(Action::Attempt { id: id.clone(), exchange: exchange_id, abandon_at });
     }
 
+    /// Handles the establishment of a call: measures the set-up time without stalls of this proxy and clears signs of
+    /// failure.
     fn on_established(&mut self, now: Time, id: &CallId, leg: u32, exchange_id: ExchangeId, elapsed: Secs) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let Stage::Attempting { leg: pending_leg, exchange_id: pending_id, sent_at } = call.stage else {
@@ -906,6 +983,7 @@
         self.update_levels(exchange_id, now);
     }
 
+    /// Handles the end of an attempt and makes the next one, or gives the final answer.
     fn on_attempt_ended(&mut self, now: Time, result: AttemptResult, actions: &mut Vec<Action>) {
         let id = result.id.clone();
         let onset = self.onset(now);
@@ -922,7 +1000,7 @@
         }
         let (dest, number) = (call.arrival.dest, call.arrival.number.clone());
         call.stage = Stage::BetweenAttempts;
-        // A refusal may jump the line: only what stands tells of it.
+        // A refusal can be sent ahead of the queue, so only established calls show the order of answers.
         let overtaken = self
             .exchanges
             .get_mut(&result.exchange)
@@ -977,8 +1055,8 @@
         }
     }
 
-    /// No answer: the wait is at least the time we waited. Through a tandem either end may be at fault, so
-    /// only the weight of the pair is lowered.
+    /// Records that a set-up had no answer: the wait at the exchange is at least the time elapsed. Over a tandem, the
+    /// tandem or the destination may be at fault, so only the weight of the pair is lowered.
     fn record_no_answer(&mut self, now: Time, dest: ExchangeNumber, exchange_id: ExchangeId, elapsed: Secs) {
         self.adjust_tandem_weight(dest, exchange_id, false);
         let own_wait = self.own_wait(now).unwrap_or(0.0);
@@ -986,7 +1064,7 @@
         if exchange.entry.number == dest || self.settings.service_kind == ServiceKind::AgentPools {
             let already_silent = exchange.silent_since.is_some();
             (exchange.delay_sample, exchange.has_new_sample) = (Some((elapsed, now)), true);
-            // Where the own processor may have held the set-up, its silence says nothing of the far end.
+            // If the set-up may have waited at the own processor, the missing answer says nothing about the far end.
             if own_wait < elapsed / 2.0 {
                 exchange.silent_since.get_or_insert(now);
             }
@@ -997,6 +1075,7 @@
         self.update_levels(exchange_id, now);
     }
 
+    /// Records a "processor full" response: raises the overload level and pauses sends to the exchange.
     fn record_full_processor(&mut self, now: Time, exchange_id: ExchangeId, retry_after: Option<Secs>) {
         let Some(exchange) = self.exchanges.get_mut(&exchange_id) else { return };
         exchange.overload.raise(now);
@@ -1004,7 +1083,8 @@
         exchange.paused_until = now + retry_after.unwrap_or(0.0).max(self.tuning.full_pause);
     }
 
-    /// Redials multiply the load of a number whose lines are all busy: gap it, twice as long each time.
+    /// Gaps a number whose lines are all busy, as redials would multiply its load; each further gap is twice as long,
+    /// up to `gap_aims`.
     fn gap_number(&mut self, now: Time, number: Option<String>) {
         let Some(number) = number else { return };
         let longest = self.tuning.gap_aims * self.shortest_target;
@@ -1014,6 +1094,7 @@
         self.gaps.insert(number, (now + length, length));
     }
 
+    /// Handles an expired timer: the next attempt of a call, or the next subscription to the roster.
     fn on_timer(&mut self, now: Time, token: TimerToken, actions: &mut Vec<Action>) {
         match self.timers.remove(&token) {
             Some(Some(id)) => self.attempt_or_conclude(now, &id, actions),
@@ -1022,6 +1103,7 @@
         }
     }
 
+    /// Starts a timer for a call, or without one for the roster.
     fn start_timer(&mut self, after: Secs, call: Option<CallId>, actions: &mut Vec<Action>) {
         let token = TimerToken(self.next_token);
         self.next_token += 1;
@@ -1029,7 +1111,8 @@
         actions.push(Action::Timer { after: after.max(0.0), token });
     }
 
-    /// The final answer: refused where the rules let it, else failed.
+    /// Gives the final answer and removes the call: refused if the repeat semantics of its class allow the caller to
+    /// redial, otherwise failed.
     fn conclude(&mut self, id: &CallId, reason: Refusal, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(id) else { return };
         if let (Some(number), false) = (&call.arrival.number, call.arrival.transit) {
@@ -1046,8 +1129,8 @@
                 )
             });
         actions.push(if refusable {
-            // A call refused early may yet stand in its aim if the caller is back soon; a number whose lines
-            // are all busy is better left alone.
+            // A call that was refused early can still meet its target if the caller redials soon. Redials to a number
+            // whose lines are all busy only add load, so their cool-down is the longest one allowed.
             let gapped = self.is_gapped(&call.arrival, call.arrived_at);
             let suggested_wait =
                 if gapped { f64::INFINITY } else { self.tuning.cool_down_aims * self.shortest_target };
@@ -1060,6 +1143,7 @@
         self.remove_call(id);
     }
 
+    /// Removes a call and its pending set-up.
     fn remove_call(&mut self, id: &CallId) {
         if let Some(Call { stage: Stage::Attempting { exchange_id, .. }, .. }) = self.calls.remove(id) {
             if let Some(exchange) = self.exchanges.get_mut(&exchange_id) {
