--- a/src/calls/table.rs
+++ b/src/calls/table.rs
@@ -85,7 +85,7 @@
 
     /// The same with other tuned values for the module.
     pub fn tuned(settings: Settings, tuning: Tuning, tenants: Tenants, seed: u64, now: Time) -> Self {
-        let mut controller = Controller::tuned(settings.clone(), tuning, seed);
+        let mut controller = Controller::with_tuning(settings.clone(), tuning, seed);
         // Lists and states come unasked on real wires: what the module asks for at its start is under way.
         controller.start(now, &mut Vec::new());
         Table {
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -305,11 +305,11 @@
 impl Controller {
     /// Creates a controller with the default tuning.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Self::tuned(settings, Tuning::default(), seed)
+        Self::with_tuning(settings, Tuning::default(), seed)
     }
 
     /// Creates a controller with the given tuning.
-    pub fn tuned(settings: Settings, tuning: Tuning, seed: u64) -> Self {
+    pub fn with_tuning(settings: Settings, tuning: Tuning, seed: u64) -> Self {
         let targets = settings.classes.iter().map(|class| class.target).filter(|target| *target > 0.0);
         let shortest_target = targets.fold(f64::INFINITY, f64::min);
         Controller {
