--- a/src/logic.rs
+++ b/src/logic.rs
@@ -285,8 +285,8 @@
     tandem_weights: BTreeMap<(ExchangeNumber, ExchangeNumber), f64>,
     /// Call gapping of numbers whose lines were all busy: the end of the gap, and its length.
     gaps: BTreeMap<String, (Time, Secs)>,
-    /// The arrival time of the first refused set-up to each number; kept for two targets, while its callers may still
-    /// redial in time.
+    /// The arrival time of the first call to each number that was refused or failed here; kept for two targets, while
+    /// its callers may still redial in time.
     first_refusals: BTreeMap<String, Time>,
     /// How often each time to live has occurred, by class and slot of [`TTL_SLOT`].
     ttl_counts: BTreeMap<(ClassIndex, i64), u32>,
