--- a/src/logic.rs
+++ b/src/logic.rs
@@ -698,8 +698,8 @@
         }
     }
 
-    /// The priority of a call. It is urgent if it is re-established after a cut, or if its class is worth more than the
-    /// lowest one.
+    /// The priority of a call. A call that is re-established after a cut is urgent. So is a call of a class that is
+    /// worth more than the lowest one, unless it is a redial.
     fn priority(&self, arrival: &Arrival) -> Priority {
         let worth = |index: usize| self.settings.classes.get(index).map_or(0.0, |class| class.worth);
         let lowest = self.settings.classes.iter().map(|class| class.worth).fold(f64::INFINITY, f64::min);
