--- a/src/admin/http.rs
+++ b/src/admin/http.rs
@@ -9,7 +9,7 @@
 use smol::net::{TcpListener, TcpStream};
 use subtle::ConstantTimeEq;
 
-use super::{Store, StoreError};
+use super::{StoreError, TenantStore};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
 use crate::net::{or_late, Tasks};
 
@@ -153,15 +153,15 @@
             StoreError::Change(ChangeError::Exists(_)) | StoreError::Locked(_) => 409,
             StoreError::Change(ChangeError::Missing(_)) => 404,
             StoreError::Change(ChangeError::Invalid(_)) => 400,
-            StoreError::Kept(_) => 500,
-            StoreError::Ended => 503,
+            StoreError::NotPersisted(_) => 500,
+            StoreError::ShuttingDown => 503,
         };
         refusal(status, error)
     }
 }
 
 /// Answers a request.
-pub async fn answer(store: &Store, tokens: &[Token], request: &Request) -> Response {
+pub async fn handle_request(store: &TenantStore, tokens: &[Token], request: &Request) -> Response {
     let Some(scope) = scope(tokens, request.bearer.as_deref()) else {
         return refusal(401, "a valid token is needed, as 'Authorization: Bearer ...'");
     };
@@ -170,7 +170,7 @@
     }
 }
 
-async fn route(store: &Store, scope: &Scope, request: &Request) -> Result<Response, Response> {
+async fn route(store: &TenantStore, scope: &Scope, request: &Request) -> Result<Response, Response> {
     let parts: Vec<&str> = request.path.trim_matches('/').split('/').collect();
     let (name, verb) = match parts[..] {
         ["v1", "tenants"] => (None, None),
@@ -225,7 +225,7 @@
 }
 
 async fn look(
-    store: &Store,
+    store: &TenantStore,
     scope: &Scope,
     name: Option<&str>,
     verb: Option<&str>,
@@ -284,7 +284,7 @@
 }
 
 /// Serves the API for ever.
-pub async fn run(tasks: Tasks, listener: TcpListener, store: Rc<Store>, tokens: Vec<Token>) {
+pub async fn run(tasks: Tasks, listener: TcpListener, store: Rc<TenantStore>, tokens: Vec<Token>) {
     let tokens: Rc<[Token]> = tokens.into();
     let open = Rc::new(());
     loop {
@@ -308,14 +308,14 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, store: &Store, tokens: &[Token]) -> std::io::Result<()> {
+async fn serve(mut stream: TcpStream, store: &TenantStore, tokens: &[Token]) -> std::io::Result<()> {
     let mut held = Vec::new();
     let mut piece = vec![0; 4096];
     loop {
         let (response, close) = match parse(&held) {
             Ok(Some((request, length))) => {
                 held.drain(..length);
-                let response = answer(store, tokens, &request).await;
+                let response = handle_request(store, tokens, &request).await;
                 tracing::info!(
                     method = request.method,
                     path = request.path,
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -27,15 +27,15 @@
     Locked(u32),
     /// The change holds, but not beyond a restart.
     #[error("changed, but the file of tenants could not be written: {0}")]
-    Kept(io::Error),
+    NotPersisted(io::Error),
     /// The program ends.
     #[error("the program ends")]
-    Ended,
+    ShuttingDown,
 }
 
 /// The way to the tenants, for all interfaces.
 #[derive(Debug)]
-pub struct Store {
+pub struct TenantStore {
     engine: Sender<EngineMail>,
     file: Option<PathBuf>,
     /// One change at a time, so that the file holds the last one.
@@ -43,17 +43,17 @@
     lock: Cell<Option<u32>>,
 }
 
-impl Store {
+impl TenantStore {
     /// The store that the module's actor holds, kept in a file where one is named.
     pub fn new(engine: Sender<EngineMail>, file: Option<PathBuf>) -> Self {
-        Store { engine, file, turn: Mutex::new(()), lock: Cell::new(None) }
+        TenantStore { engine, file, turn: Mutex::new(()), lock: Cell::new(None) }
     }
 
     /// All tenants with their counts.
     pub async fn list(&self) -> Result<Vec<(Tenant, Counts)>, StoreError> {
         let (reply, answer) = bounded(1);
-        self.engine.send(EngineMail::Tenants(reply)).await.map_err(|_| StoreError::Ended)?;
-        answer.recv().await.map_err(|_| StoreError::Ended)
+        self.engine.send(EngineMail::Tenants(reply)).await.map_err(|_| StoreError::ShuttingDown)?;
+        answer.recv().await.map_err(|_| StoreError::ShuttingDown)
     }
 
     /// Makes all of the changes, or none, for a NETCONF session or somebody else.
@@ -63,8 +63,8 @@
             return Err(StoreError::Locked(holder));
         }
         let (reply, answer) = bounded(1);
-        self.engine.send(EngineMail::Change(changes, reply)).await.map_err(|_| StoreError::Ended)?;
-        answer.recv().await.map_err(|_| StoreError::Ended)??;
+        self.engine.send(EngineMail::Change(changes, reply)).await.map_err(|_| StoreError::ShuttingDown)?;
+        answer.recv().await.map_err(|_| StoreError::ShuttingDown)??;
         let Some(file) = self.file.clone() else { return Ok(()) };
         let tenants: Vec<Tenant> = self.list().await?.into_iter().map(|(tenant, _)| tenant).collect();
         smol::unblock(move || {
@@ -74,7 +74,7 @@
             std::fs::rename(next, file)
         })
         .await
-        .map_err(StoreError::Kept)
+        .map_err(StoreError::NotPersisted)
     }
 
     /// Locks the store for a session.
--- a/src/admin/netconf.rs
+++ b/src/admin/netconf.rs
@@ -15,14 +15,14 @@
 use smol::net::{TcpListener, TcpStream};
 
 use super::xml::{self, Element};
-use super::{Store, StoreError};
+use super::{StoreError, TenantStore};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
 use crate::net::{or_late, Tasks};
 
 /// The namespace of NETCONF.
-pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
+pub const BASE_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 /// The namespace of the model.
-pub const MODEL: &str = "urn:mallowring:tenants";
+pub const MODEL_NAMESPACE: &str = "urn:mallowring:tenants";
 const CAPABILITIES: [&str; 5] = [
     "urn:ietf:params:netconf:base:1.0",
     "urn:ietf:params:netconf:base:1.1",
@@ -118,14 +118,15 @@
     }
 
     fn element(&self) -> Element {
-        let mut error = Element::new(BASE, "rpc-error")
-            .leaf("error-type", self.kind)
-            .leaf("error-tag", self.tag)
-            .leaf("error-severity", "error")
-            .leaf("error-message", &self.what);
+        let mut error = Element::new(BASE_NAMESPACE, "rpc-error")
+            .with_text("error-type", self.kind)
+            .with_text("error-tag", self.tag)
+            .with_text("error-severity", "error")
+            .with_text("error-message", &self.what);
         if !self.info.is_empty() {
-            let info = Element::new(BASE, "error-info");
-            error = error.with(self.info.iter().fold(info, |info, (name, value)| info.leaf(name, value)));
+            let info = Element::new(BASE_NAMESPACE, "error-info");
+            error = error
+                .with_child(self.info.iter().fold(info, |info, (name, value)| info.with_text(name, value)));
         }
         error
     }
@@ -138,7 +139,7 @@
             StoreError::Change(ChangeError::Missing(_)) => "data-missing",
             StoreError::Change(ChangeError::Invalid(_)) => "invalid-value",
             StoreError::Locked(_) => "in-use",
-            StoreError::Kept(_) | StoreError::Ended => "operation-failed",
+            StoreError::NotPersisted(_) | StoreError::ShuttingDown => "operation-failed",
         };
         fault("application", tag, error.to_string())
     }
@@ -147,30 +148,32 @@
 /// The tenants as the model has them.
 fn data(tenants: &[(Tenant, Counts)], state: bool) -> Element {
     let one = |(tenant, counts): &(Tenant, Counts)| {
-        let mut element = Element::new(MODEL, "tenant").leaf("name", &tenant.name);
-        element = element.leaf("suspended", tenant.suspended);
+        let mut element = Element::new(MODEL_NAMESPACE, "tenant").with_text("name", &tenant.name);
+        element = element.with_text("suspended", tenant.suspended);
         if let Some(most) = tenant.max_calls {
-            element = element.leaf("max-calls", most);
+            element = element.with_text("max-calls", most);
         }
         if state {
-            let shown = Element::new(MODEL, "counts")
-                .leaf("present", counts.present)
-                .leaf("taken", counts.taken)
-                .leaf("stood", counts.stood)
-                .leaf("refused", counts.refused)
-                .leaf("failed", counts.failed)
-                .leaf("given-up", counts.given_up)
-                .leaf("rejected", counts.rejected);
-            element = element.with(shown);
+            let shown = Element::new(MODEL_NAMESPACE, "counts")
+                .with_text("present", counts.present)
+                .with_text("taken", counts.taken)
+                .with_text("stood", counts.stood)
+                .with_text("refused", counts.refused)
+                .with_text("failed", counts.failed)
+                .with_text("given-up", counts.given_up)
+                .with_text("rejected", counts.rejected);
+            element = element.with_child(shown);
         }
         element
     };
-    tenants.iter().map(one).fold(Element::new(MODEL, "tenants"), Element::with)
+    tenants.iter().map(one).fold(Element::new(MODEL_NAMESPACE, "tenants"), Element::with_child)
 }
 
 /// What a subtree filter (RFC 6241, 6) leaves of an element.
 fn select(node: &Element, filter: &Element) -> Option<Element> {
-    if node.name != filter.name || !(filter.ns.is_empty() || filter.ns == BASE || filter.ns == node.ns) {
+    if node.name != filter.name
+        || !(filter.ns.is_empty() || filter.ns == BASE_NAMESPACE || filter.ns == node.ns)
+    {
         return None;
     }
     let (matches, others): (Vec<_>, Vec<_>) =
@@ -190,9 +193,9 @@
 }
 
 fn filtered(rpc: &Element, data: Element) -> Result<Element, RpcError> {
-    let mut out = Element::new(BASE, "data");
-    let Some(filter) = rpc.child("filter") else { return Ok(out.with(data)) };
-    if filter.attr("", "type").or(filter.attr(BASE, "type")).is_some_and(|kind| kind != "subtree") {
+    let mut out = Element::new(BASE_NAMESPACE, "data");
+    let Some(filter) = rpc.child("filter") else { return Ok(out.with_child(data)) };
+    if filter.attr("", "type").or(filter.attr(BASE_NAMESPACE, "type")).is_some_and(|kind| kind != "subtree") {
         return Err(fault("protocol", "operation-not-supported", "only subtree filters are supported"));
     }
     out.children = filter.children.iter().find_map(|f| select(&data, f)).into_iter().collect();
@@ -228,7 +231,7 @@
 
 /// The operation that holds for an element, its own or the one around it.
 fn operation<'a>(element: &'a Element, outer: &'a str) -> Result<&'a str, RpcError> {
-    let own = element.attr(BASE, "operation");
+    let own = element.attr(BASE_NAMESPACE, "operation");
     match own.unwrap_or(outer) {
         known @ ("merge" | "replace" | "create" | "delete" | "remove" | "none") => Ok(known),
         other => {
@@ -239,7 +242,7 @@
 }
 
 /// What an edit-config changes, given the tenants that there are.
-pub fn edits(rpc: &Element, tenants: &[Tenant]) -> Result<Vec<Change>, RpcError> {
+pub fn requested_changes(rpc: &Element, tenants: &[Tenant]) -> Result<Vec<Change>, RpcError> {
     running(rpc, "target")?;
     let default = match rpc.child("default-operation").map_or("merge", |d| d.text.as_str()) {
         known @ ("merge" | "replace" | "none") => known,
@@ -251,7 +254,7 @@
     let config = rpc.child("config").ok_or_else(|| missing("config"))?;
     let mut changes = Vec::new();
     for container in &config.children {
-        if (container.ns.as_str(), container.name.as_str()) != (MODEL, "tenants") {
+        if (container.ns.as_str(), container.name.as_str()) != (MODEL_NAMESPACE, "tenants") {
             return Err(unknown(container));
         }
         let outer = operation(container, default)?;
@@ -271,7 +274,7 @@
             continue;
         }
         for entry in &container.children {
-            if (entry.ns.as_str(), entry.name.as_str()) != (MODEL, "tenant") {
+            if (entry.ns.as_str(), entry.name.as_str()) != (MODEL_NAMESPACE, "tenant") {
                 return Err(unknown(entry));
             }
             changes.extend(edit(entry, operation(entry, outer)?, tenants)?);
@@ -288,12 +291,12 @@
     for leaf in &entry.children {
         let taken_away = matches!(operation(leaf, "merge")?, "delete" | "remove");
         match (leaf.ns.as_str(), leaf.name.as_str()) {
-            (MODEL, "name") => {}
-            (MODEL, "suspended") if taken_away => suspended = Some(false),
-            (MODEL, "suspended") => suspended = Some(value(leaf)?),
-            (MODEL, "max-calls") if taken_away => max_calls = Some(None),
-            (MODEL, "max-calls") => max_calls = Some(Some(value(leaf)?)),
-            (MODEL, "counts") => {
+            (MODEL_NAMESPACE, "name") => {}
+            (MODEL_NAMESPACE, "suspended") if taken_away => suspended = Some(false),
+            (MODEL_NAMESPACE, "suspended") => suspended = Some(value(leaf)?),
+            (MODEL_NAMESPACE, "max-calls") if taken_away => max_calls = Some(None),
+            (MODEL_NAMESPACE, "max-calls") => max_calls = Some(Some(value(leaf)?)),
+            (MODEL_NAMESPACE, "counts") => {
                 let error = fault("application", "invalid-value", "counts can't be configured");
                 return Err(error.about("bad-element", "counts"));
             }
@@ -338,7 +341,7 @@
     /// Where sessions run.
     pub tasks: Tasks,
     /// The store.
-    pub store: Rc<Store>,
+    pub store: Rc<TenantStore>,
     /// How TLS is spoken.
     pub tls: Arc<ServerConfig>,
     /// Who may come in.
@@ -407,8 +410,10 @@
 }
 
 fn hello(id: u32) -> String {
-    let list = CAPABILITIES.iter().fold(Element::new(BASE, "capabilities"), |l, c| l.leaf("capability", c));
-    written(&Element::new(BASE, "hello").with(list).leaf("session-id", id))
+    let list = CAPABILITIES
+        .iter()
+        .fold(Element::new(BASE_NAMESPACE, "capabilities"), |l, c| l.with_text("capability", c));
+    written(&Element::new(BASE_NAMESPACE, "hello").with_child(list).with_text("session-id", id))
 }
 
 fn written(element: &Element) -> String {
@@ -431,7 +436,7 @@
 }
 
 async fn talk(
-    store: &Store,
+    store: &TenantStore,
     id: u32,
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     sessions: &Sessions,
@@ -440,12 +445,14 @@
     stream.write_all(&framer.frame(&hello(id))).await?;
     stream.flush().await?;
     let Some(theirs) = or_late(HANDSHAKE, next(stream, &mut framer)).await? else { return Ok(()) };
-    let theirs = xml::read(&theirs).map_err(std::io::Error::other)?;
+    let theirs = xml::parse(&theirs).map_err(std::io::Error::other)?;
     let known = |wanted: &str| {
         let list = theirs.child("capabilities").map_or(&[][..], |list| &list.children);
         list.iter().any(|c| c.text == wanted)
     };
-    if (theirs.ns.as_str(), theirs.name.as_str()) != (BASE, "hello") || theirs.child("session-id").is_some() {
+    if (theirs.ns.as_str(), theirs.name.as_str()) != (BASE_NAMESPACE, "hello")
+        || theirs.child("session-id").is_some()
+    {
         return Err(std::io::Error::other("its first message is no hello"));
     }
     framer.chunked = known(CAPABILITIES[1]);
@@ -464,41 +471,41 @@
 }
 
 /// Answers a message; true where the session is over.
-async fn answer(store: &Store, id: u32, sessions: &Sessions, message: &str) -> (Element, bool) {
-    let mut reply = Element::new(BASE, "rpc-reply");
-    let rpc = match xml::read(message) {
-        Ok(rpc) if (rpc.ns.as_str(), rpc.name.as_str()) == (BASE, "rpc") => rpc,
+async fn answer(store: &TenantStore, id: u32, sessions: &Sessions, message: &str) -> (Element, bool) {
+    let mut reply = Element::new(BASE_NAMESPACE, "rpc-reply");
+    let rpc = match xml::parse(message) {
+        Ok(rpc) if (rpc.ns.as_str(), rpc.name.as_str()) == (BASE_NAMESPACE, "rpc") => rpc,
         Ok(other) => {
             return (
-                reply.with(fault("rpc", "malformed-message", other.name + " is no rpc").element()),
+                reply.with_child(fault("rpc", "malformed-message", other.name + " is no rpc").element()),
                 false,
             )
         }
-        Err(what) => return (reply.with(fault("rpc", "malformed-message", what).element()), false),
+        Err(what) => return (reply.with_child(fault("rpc", "malformed-message", what).element()), false),
     };
     reply.attrs = rpc.attrs.iter().filter(|(ns, ..)| ns.is_empty()).cloned().collect();
     if rpc.attr("", "message-id").is_none() {
         let error = fault("rpc", "missing-attribute", "message-id is missing");
         let error = error.about("bad-attribute", "message-id").about("bad-element", "rpc");
-        return (reply.with(error.element()), false);
+        return (reply.with_child(error.element()), false);
     }
     let Some(operation) = rpc.children.first() else {
-        return (reply.with(missing("the operation").element()), false);
+        return (reply.with_child(missing("the operation").element()), false);
     };
     match perform(store, id, sessions, operation).await {
-        Ok(Some(data)) => (reply.with(data), false),
-        Ok(None) => (reply.with(Element::new(BASE, "ok")), operation.name == "close-session"),
-        Err(error) => (reply.with(error.element()), false),
+        Ok(Some(data)) => (reply.with_child(data), false),
+        Ok(None) => (reply.with_child(Element::new(BASE_NAMESPACE, "ok")), operation.name == "close-session"),
+        Err(error) => (reply.with_child(error.element()), false),
     }
 }
 
 async fn perform(
-    store: &Store,
+    store: &TenantStore,
     id: u32,
     sessions: &Sessions,
     rpc: &Element,
 ) -> Result<Option<Element>, RpcError> {
-    let name = if rpc.ns == BASE { rpc.name.as_str() } else { "" };
+    let name = if rpc.ns == BASE_NAMESPACE { rpc.name.as_str() } else { "" };
     match name {
         "get" => filtered(rpc, data(&store.list().await?, true)).map(Some),
         "get-config" => {
@@ -507,7 +514,7 @@
         }
         "edit-config" => {
             let tenants: Vec<Tenant> = store.list().await?.into_iter().map(|(t, _)| t).collect();
-            store.change(Some(id), edits(rpc, &tenants)?).await?;
+            store.change(Some(id), requested_changes(rpc, &tenants)?).await?;
             Ok(None)
         }
         "lock" => {
--- a/src/admin/xml.rs
+++ b/src/admin/xml.rs
@@ -58,7 +58,7 @@
 }
 
 /// Reads a document; what is wrong with it is told in words.
-pub fn read(document: &str) -> Result<Element, String> {
+pub fn parse(document: &str) -> Result<Element, String> {
     let mut reader = NsReader::from_str(document);
     let mut open: Vec<Element> = Vec::new();
     loop {
@@ -134,16 +134,16 @@
 
     /// The same with one more element in it.
     #[must_use]
-    pub fn with(mut self, child: Element) -> Self {
+    pub fn with_child(mut self, child: Element) -> Self {
         self.children.push(child);
         self
     }
 
     /// The same with an element in it that holds text, of the same namespace.
     #[must_use]
-    pub fn leaf(self, name: &str, value: impl ToString) -> Self {
+    pub fn with_text(self, name: &str, value: impl ToString) -> Self {
         let leaf = Element { text: value.to_string(), ..Element::new(&self.ns, name) };
-        self.with(leaf)
+        self.with_child(leaf)
     }
 
     /// Written, where a namespace is already in force.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -22,7 +22,7 @@
 use smol::stream::StreamExt;
 use smol::{future, Async, LocalExecutor, Timer};
 
-use crate::admin::{self, Store};
+use crate::admin::{self, TenantStore};
 use crate::calls::tenants::Tenants;
 use crate::calls::Table;
 use crate::config::Config;
@@ -195,7 +195,7 @@
         }
         tasks.spawn(clock::run(clock, alarm_mail, engine.clone(), sip_front.clone(), front.clone())).detach();
         if let Some(admin) = config.admin {
-            let store = Rc::new(Store::new(engine.clone(), admin.store));
+            let store = Rc::new(TenantStore::new(engine.clone(), admin.store));
             if let (Some(listener), Some((_, tokens))) = (http, admin.http) {
                 tasks.spawn(admin::http::run(tasks.clone(), listener, store.clone(), tokens)).detach();
             }
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -9,7 +9,7 @@
 
 use futures_rustls::rustls::pki_types::{PrivateKeyDer, PrivatePkcs8KeyDer, ServerName};
 use futures_rustls::rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
-use mallowring::admin::netconf::{Framer, BASE, MODEL};
+use mallowring::admin::netconf::{Framer, BASE_NAMESPACE, MODEL_NAMESPACE};
 use mallowring::admin::xml::{self, Element};
 use mallowring::sip::header::Transport;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
@@ -206,9 +206,9 @@
         let client = ClientConnection::new(Arc::new(config), name).expect("a client");
         let stream = StreamOwned::new(client, TcpStream::connect(addr)?);
         let mut netconf = Netconf { stream, framer: Framer::default(), next: 0, session: String::new() };
-        let hello = Element::new(BASE, "hello").with(
-            Element::new(BASE, "capabilities")
-                .leaf("capability", format!("urn:ietf:params:netconf:base:{base}")),
+        let hello = Element::new(BASE_NAMESPACE, "hello").with_child(
+            Element::new(BASE_NAMESPACE, "capabilities")
+                .with_text("capability", format!("urn:ietf:params:netconf:base:{base}")),
         );
         netconf.write(&hello)?;
         let theirs = netconf.read()?;
@@ -232,7 +232,7 @@
         let mut bytes = vec![0; 4096];
         loop {
             if let Some(message) = self.framer.pull().map_err(std::io::Error::other)? {
-                return Ok(xml::read(&message).expect("XML of the server's"));
+                return Ok(xml::parse(&message).expect("XML of the server's"));
             }
             match self.stream.read(&mut bytes)? {
                 0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
@@ -245,7 +245,7 @@
     fn rpc(&mut self, operation: &str) -> Vec<Element> {
         self.next += 1;
         let id = self.next.to_string();
-        self.raw(&format!("<rpc message-id=\"{id}\" xmlns=\"{BASE}\">{operation}</rpc>"))
+        self.raw(&format!("<rpc message-id=\"{id}\" xmlns=\"{BASE_NAMESPACE}\">{operation}</rpc>"))
             .expect("it is sent");
         let reply = self.read().expect("a reply");
         assert_eq!(reply.attr("", "message-id"), Some(id.as_str()));
@@ -269,7 +269,7 @@
 }
 
 fn edit(tenants: &str) -> String {
-    format!("<edit-config><target><running/></target><config><tenants xmlns=\"{MODEL}\" xmlns:nc=\"{BASE}\">{tenants}</tenants></config></edit-config>")
+    format!("<edit-config><target><running/></target><config><tenants xmlns=\"{MODEL_NAMESPACE}\" xmlns:nc=\"{BASE_NAMESPACE}\">{tenants}</tenants></config></edit-config>")
 }
 
 #[test]
@@ -300,7 +300,7 @@
         assert_eq!(call(&proxy), Some(480));
         noc.ok(&edit("<tenant nc:operation=\"create\"><name>acme</name><max-calls>7</max-calls></tenant>"));
         let wanted = format!(
-            "<get><filter type=\"subtree\"><tenants xmlns=\"{MODEL}\"><tenant><name>acme</name></tenant></tenants></filter></get>"
+            "<get><filter type=\"subtree\"><tenants xmlns=\"{MODEL_NAMESPACE}\"><tenant><name>acme</name></tenant></tenants></filter></get>"
         );
         let data = noc.rpc(&wanted).remove(0);
         let tenants = &data.children[0].children;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -167,7 +167,7 @@
                 framer.push(piece);
                 loop {
                     match framer.pull() {
-                        Ok(Some(message)) => read.push(format!("{:?}", xml::read(&message))),
+                        Ok(Some(message)) => read.push(format!("{:?}", xml::parse(&message))),
                         Ok(None) => break,
                         Err(what) => return format!("{read:?} {what}"),
                     }
