--- a/src/calls/table.rs
+++ b/src/calls/table.rs
@@ -53,7 +53,7 @@
 /// Logs and counts why a request was turned away.
 fn note_refusal(id: &CallId, reason: &'static str) {
     tracing::debug!(call = id.0, reason, "request refused");
-    telemetry::refused(reason);
+    telemetry::request_refused(reason);
 }
 
 /// All calls of one signalling proxy, and the module that decides on them.
--- a/src/net/bulletin.rs
+++ b/src/net/bulletin.rs
@@ -208,7 +208,7 @@
             End::Moved(to) => Some(to),
             End::Lost(error) => {
                 tracing::warn!(%error, last = list.last, "bulletin lost: connecting again");
-                telemetry::discovery_lost();
+                telemetry::discovery_connection_lost();
                 let again = error.kind() == io::ErrorKind::InvalidData && list.last == spoilt.0;
                 spoilt = (list.last, if again { spoilt.1 + 1 } else { 0 });
                 let pause = async {
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -110,7 +110,7 @@
             };
             let Some(number) = slowest(all.iter().filter_map(queue)) else { return };
             let Some(outbox) = all.get(&number).and_then(Weak::upgrade) else { return };
-            telemetry::queue_cut("all queues");
+            telemetry::queue_limit_exceeded("all queues");
             self.cut(&outbox, "all queues together hold too much");
         }
     }
@@ -192,7 +192,7 @@
             return false;
         }
         if self.outbox.size.get() > QUEUED {
-            telemetry::queue_cut("one queue");
+            telemetry::queue_limit_exceeded("one queue");
             self.outboxes.cut(&self.outbox, "its reader is too slow");
             return false;
         }
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -151,7 +151,7 @@
                 }
                 EngineMail::CallersLeft => callers_left = true,
                 EngineMail::Summary => {
-                    telemetry::call_records(self.table.held_bytes());
+                    telemetry::set_call_record_bytes(self.table.held_bytes());
                     tracing::info!(counters = telemetry::summary(), "counters since the start");
                     self.later(SUMMARY, || EngineMail::Summary);
                 }
--- a/src/net/peer/watch.rs
+++ b/src/net/peer/watch.rs
@@ -97,7 +97,7 @@
             calls = self.liveness.calls(),
             "silent exchange: connecting once more"
         );
-        telemetry::exchange_verified();
+        telemetry::exchange_verification_started();
         self.verify_next = true;
         self.open_connection(permit);
     }
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -95,7 +95,7 @@
         match grant {
             Grant::Open => Answer::Granted(Permit { permits: self.clone(), office }),
             Grant::After(victim) => {
-                telemetry::connection_given_up();
+                telemetry::exchange_connection_reclaimed();
                 tracing::debug!(
                     office = office.0,
                     victim = victim.0,
@@ -109,7 +109,7 @@
                 Answer::Wait
             }
             Grant::No => {
-                telemetry::connection_denied();
+                telemetry::exchange_connection_denied();
                 Answer::No
             }
         }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -287,7 +287,7 @@
 
     fn report(&self) {
         let (callers, exchanges) = (self.lines.len(), self.front.permits.held());
-        telemetry::resources(callers, exchanges, self.front.outboxes.queued(), self.unsent.bytes());
+        telemetry::set_resource_usage(callers, exchanges, self.front.outboxes.queued(), self.unsent.bytes());
     }
 
     /// After SIGTERM: stops to accept once no caller has been connected for a while, and says so once none is left.
@@ -443,7 +443,7 @@
             }
         };
         if self.lines.get(&no).is_some_and(|line| line.refused) {
-            telemetry::refused("too many callers");
+            telemetry::request_refused("too many callers");
             let refusal = Message::response(503, "Service Unavailable", &message.headers);
             self.write(no, &refusal.with("X-Cooldown", COOL_DOWN_MS));
             return;
@@ -498,7 +498,7 @@
             }
         };
         let conn = leg.conn;
-        telemetry::answered(if over { "refused" } else { "stands" });
+        telemetry::final_answer_sent(if over { "refused" } else { "stands" });
         if over {
             self.calls.remove(&id);
         } else if let Some(line) = self.lines.get_mut(&conn) {
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -115,7 +115,7 @@
 }
 
 /// A connection was asked for to hear whether a silent exchange is alive.
-pub fn exchange_verified() {
+pub fn exchange_verification_started() {
     metrics::counter!(VERIFICATIONS).increment(1);
 }
 
@@ -125,7 +125,7 @@
 }
 
 /// A connection to discovery ended.
-pub fn discovery_lost() {
+pub fn discovery_connection_lost() {
     metrics::counter!(DISCOVERY_LOST).increment(1);
 }
 
@@ -135,12 +135,12 @@
 }
 
 /// A caller was told something for good.
-pub fn answered(answer: &'static str) {
+pub fn final_answer_sent(answer: &'static str) {
     metrics::counter!(ANSWERS, "answer" => answer).increment(1);
 }
 
 /// A request was refused.
-pub fn refused(reason: &'static str) {
+pub fn request_refused(reason: &'static str) {
     metrics::counter!(REFUSALS, "reason" => reason).increment(1);
 }
 
@@ -160,17 +160,17 @@
 }
 
 /// An exchange was asked to give a connection up.
-pub fn connection_given_up() {
+pub fn exchange_connection_reclaimed() {
     metrics::counter!(CONNECTIONS_GIVEN_UP).increment(1);
 }
 
 /// The budget allowed no connection.
-pub fn connection_denied() {
+pub fn exchange_connection_denied() {
     metrics::counter!(CONNECTIONS_DENIED).increment(1);
 }
 
 /// A connection was cut for what waited on it.
-pub fn queue_cut(bound: &'static str) {
+pub fn queue_limit_exceeded(bound: &'static str) {
     metrics::counter!(QUEUES_CUT, "bound" => bound).increment(1);
 }
 
@@ -190,7 +190,7 @@
 }
 
 /// What is held now.
-pub fn resources(callers: usize, exchanges: usize, queued: usize, releases: usize) {
+pub fn set_resource_usage(callers: usize, exchanges: usize, queued: usize, releases: usize) {
     metrics::gauge!(DESCRIPTORS, "part" => "callers").set(callers as f64);
     metrics::gauge!(DESCRIPTORS, "part" => "exchanges").set(exchanges as f64);
     metrics::gauge!(BYTES, "part" => "queues").set(queued as f64);
@@ -198,6 +198,6 @@
 }
 
 /// What the records of calls hold now.
-pub fn call_records(bytes: usize) {
+pub fn set_call_record_bytes(bytes: usize) {
     metrics::gauge!(BYTES, "part" => "calls").set(bytes as f64);
 }
