--- a/crates/lab/src/captures.rs
+++ b/crates/lab/src/captures.rs
@@ -3,9 +3,9 @@
 use std::fs;
 use std::path::Path;
 
-use mallowring::capture::frame::{head, read, CaptureError, End, Frames};
+use mallowring::capture::frame::{header, read_capture, CaptureEnd, CaptureError, FrameWriter};
 use mallowring::capture::replay::replay;
-use mallowring::capture::{Entry, What};
+use mallowring::capture::{Entry, EntryKind};
 use mallowring::Tuning;
 
 use crate::LabError;
@@ -13,8 +13,8 @@
 /// Writes a capture, whole or not at all; returns its length in bytes.
 pub fn write(path: &Path, entries: &[Entry]) -> Result<usize, LabError> {
     let fault = |source: CaptureError| LabError::Capture { path: path.to_owned(), source };
-    let mut bytes = head().to_vec();
-    let mut frames = Frames::new();
+    let mut bytes = header().to_vec();
+    let mut frames = FrameWriter::new();
     for entry in entries {
         bytes.extend(frames.push(entry).map_err(fault)?.into_iter().flatten());
     }
@@ -29,9 +29,10 @@
 /// whether every decision was the same.
 pub fn decide_again(path: &Path, tuning: Option<&Tuning>) -> Result<(String, bool), LabError> {
     let bytes = fs::read(path).map_err(LabError::file(path))?;
-    let mut capture = read(&bytes).map_err(|source| LabError::Capture { path: path.to_owned(), source })?;
+    let mut capture =
+        read_capture(&bytes).map_err(|source| LabError::Capture { path: path.to_owned(), source })?;
     for entry in &mut capture.entries {
-        if let (What::Start(start), Some(tuning)) = (&mut entry.what, tuning) {
+        if let (EntryKind::Start(start), Some(tuning)) = (&mut entry.kind, tuning) {
             start.tuning = tuning.clone();
         }
     }
@@ -42,24 +43,27 @@
         done.inputs,
         done.commands
     );
-    if let End::Cut { offset, bytes, entries } = capture.end {
+    if let CaptureEnd::Truncated { offset, missing_bytes: bytes, missing_entries: entries } = capture.end {
         let missing = match (bytes, entries) {
             (Some(bytes), Some(entries)) => format!("{bytes} bytes and {entries} entries are missing"),
             _ => "how much is missing is not known".to_owned(),
         };
         text.push_str(&format!("; cut off in the frame at byte {offset}: {missing}"));
     }
-    if done.gaps > 0 {
-        text.push_str(&format!("; {} entries were dropped when it was made", done.gaps));
+    if done.dropped_entries > 0 {
+        text.push_str(&format!("; {} entries were dropped when it was made", done.dropped_entries));
     }
-    if done.skipped > 0 {
-        text.push_str(&format!("; {} entries passed over for want of a start before them", done.skipped));
+    if done.skipped_entries > 0 {
+        text.push_str(&format!(
+            "; {} entries passed over for want of a start before them",
+            done.skipped_entries
+        ));
     }
     let same = done.difference.is_none();
     if let Some(d) = done.difference {
         text.push_str(&format!(
             "\n  the first difference, at {:.4} s, entry {}:\n  told  {:?}\n  then  {:?}\n  now   {:?}",
-            d.told.at.0, d.told.seq, d.told.what, d.then, d.now
+            d.entry.at.0, d.entry.seq, d.entry.kind, d.recorded, d.replayed
         ));
     }
     Ok((text, same))
--- a/crates/lab/src/proxy/recorded.rs
+++ b/crates/lab/src/proxy/recorded.rs
@@ -4,7 +4,7 @@
 
 use mallowring::calls::tenants::Tenant;
 use mallowring::calls::CallEffect;
-use mallowring::capture::{Entry, Start, What};
+use mallowring::capture::{Entry, EntryKind, TableStart};
 use mallowring::interface::Time;
 use mallowring::Tuning;
 
@@ -27,10 +27,10 @@
         Recorded { inner: Shipped::new(tuning.clone()), tuning, captures: BTreeMap::new() }
     }
 
-    fn keep(&mut self, proxy: usize, at: Time, what: What) {
+    fn keep(&mut self, proxy: usize, at: Time, kind: EntryKind) {
         let entries = self.captures.entry(proxy).or_default();
         let seq = entries.len() as u64;
-        entries.push(Entry { seq, at, what });
+        entries.push(Entry { seq, at, kind });
     }
 }
 
@@ -39,8 +39,8 @@
         let name = |t: &crate::day::TenantDay| t.name.clone();
         let tenants = day.tenants.iter().map(name);
         let tenants = tenants.map(|name| Tenant { name, suspended: false, max_calls: None }).collect();
-        let start = Start { settings: day.settings(proxy), tuning: self.tuning.clone(), tenants, seed };
-        self.keep(proxy, now, What::Start(Box::new(start)));
+        let start = TableStart { settings: day.settings(proxy), tuning: self.tuning.clone(), tenants, seed };
+        self.keep(proxy, now, EntryKind::Start(Box::new(start)));
         self.inner.start(day, proxy, now, seed)
     }
 
@@ -51,12 +51,12 @@
     fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         for (proxy, inputs) in told {
             for input in inputs {
-                self.keep(proxy, now, What::Told(input.clone()));
+                self.keep(proxy, now, EntryKind::Input(input.clone()));
                 let from = out.len();
                 self.inner.tick(now, vec![(proxy, vec![input])], out)?;
                 let commands: Vec<CallEffect> = out[from..].iter().map(|(_, c)| c.clone()).collect();
                 if !commands.is_empty() {
-                    self.keep(proxy, now, What::Commanded(commands));
+                    self.keep(proxy, now, EntryKind::Commands(commands));
                 }
             }
         }
--- a/src/capture/frame.rs
+++ b/src/capture/frame.rs
@@ -35,36 +35,36 @@
 pub enum CaptureError {
     /// It does not begin like one.
     #[error("this is no capture")]
-    NoCapture,
+    NotACapture,
     /// Another version has written it.
     #[error("the capture has version {0}; version {VERSION} is read")]
-    Version(u16),
+    UnsupportedVersion(u16),
     /// A byte is not what was written.
-    #[error("the frame at byte {offset} is damaged: {what}")]
-    Damaged {
+    #[error("the frame at byte {offset} is damaged: {reason}")]
+    Corrupted {
         /// Where its frame begins.
         offset: usize,
         /// What shows it.
-        what: &'static str,
+        reason: &'static str,
     },
     /// An entry can't be put into a form.
     #[error("an entry can't be written: {0}")]
-    Entry(String),
+    Encoding(String),
 }
 
 /// How a capture ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CaptureEnd {
     /// After a whole frame.
-    Whole,
+    Complete,
     /// In the middle of a frame that begins at `offset`.
-    Cut {
+    Truncated {
         /// Where it begins.
         offset: usize,
         /// Bytes that are missing of it, where its head is whole.
-        bytes: Option<usize>,
+        missing_bytes: Option<usize>,
         /// Entries that are missing with it, where its head is whole.
-        entries: Option<u32>,
+        missing_entries: Option<u32>,
     },
 }
 
@@ -74,11 +74,11 @@
     /// Its entries.
     pub entries: Vec<Entry>,
     /// How it ends.
-    pub end: End,
+    pub end: CaptureEnd,
 }
 
 /// The head that a capture begins with.
-pub fn head() -> [u8; HEAD] {
+pub fn header() -> [u8; HEAD] {
     let mut head = [0; HEAD];
     head[..6].copy_from_slice(MAGIC);
     head[6..8].copy_from_slice(&VERSION.to_le_bytes());
@@ -89,13 +89,13 @@
 
 /// Gathers entries into frames.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameWriter {
     plain: Vec<u8>,
     entries: u32,
     first: u64,
 }
 
-impl Frames {
+impl FrameWriter {
     /// None yet.
     pub fn new() -> Self {
         Self::default()
@@ -113,7 +113,7 @@
             // What was gathered is gone with the buffer: it would be no whole frame.
             Err(e) => {
                 let lost = std::mem::take(&mut self.entries);
-                return Err(CaptureError::Entry(format!(
+                return Err(CaptureError::Encoding(format!(
                     "{e}; {lost} entries of {begun} bytes are lost with it"
                 )));
             }
@@ -150,31 +150,31 @@
 
 /// Reads a capture up to its last whole frame. A cut is no error: what is missing is told. A byte that was changed is
 /// one, with the offset of its frame.
-pub fn read(bytes: &[u8]) -> Result<Capture, CaptureError> {
-    let mut capture = Capture { entries: Vec::new(), end: End::Whole };
-    let cut = |offset| End::Cut { offset, bytes: None, entries: None };
+pub fn read_capture(bytes: &[u8]) -> Result<Capture, CaptureError> {
+    let mut capture = Capture { entries: Vec::new(), end: CaptureEnd::Complete };
+    let cut = |offset| CaptureEnd::Truncated { offset, missing_bytes: None, missing_entries: None };
     if bytes.len() < HEAD {
         let begun = bytes.len().min(MAGIC.len());
         if bytes[..begun] != MAGIC[..begun] {
-            return Err(CaptureError::NoCapture);
+            return Err(CaptureError::NotACapture);
         }
         capture.end = cut(0);
         return Ok(capture);
     }
     if &bytes[..6] != MAGIC {
-        return Err(CaptureError::NoCapture);
+        return Err(CaptureError::NotACapture);
     }
     if number(bytes, 8) != crc32fast::hash(&bytes[..8]) {
-        return Err(CaptureError::Damaged { offset: 0, what: "the head's checksum" });
+        return Err(CaptureError::Corrupted { offset: 0, reason: "the head's checksum" });
     }
     let version = u16::from_le_bytes([bytes[6], bytes[7]]);
     if version != VERSION {
-        return Err(CaptureError::Version(version));
+        return Err(CaptureError::UnsupportedVersion(version));
     }
     let mut offset = HEAD;
     while offset < bytes.len() {
         let rest = &bytes[offset..];
-        let damaged = |what| CaptureError::Damaged { offset, what };
+        let damaged = |reason| CaptureError::Corrupted { offset, reason };
         if rest.len() < FRAME_HEAD {
             capture.end = cut(offset);
             return Ok(capture);
@@ -192,7 +192,11 @@
         }
         let stored = stored as usize;
         let Some(block) = rest.get(..stored) else {
-            capture.end = End::Cut { offset, bytes: Some(stored - rest.len()), entries: Some(entries) };
+            capture.end = CaptureEnd::Truncated {
+                offset,
+                missing_bytes: Some(stored - rest.len()),
+                missing_entries: Some(entries),
+            };
             return Ok(capture);
         };
         if number(head, 24) != crc32fast::hash(block) {
--- a/src/capture/mod.rs
+++ b/src/capture/mod.rs
@@ -20,27 +20,27 @@
     /// The proxy's clock, seconds.
     pub at: Time,
     /// What happened.
-    pub what: What,
+    pub kind: EntryKind,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum EntryKind {
     /// A call table began, knowing nothing but this.
-    Start(Box<Start>),
+    Start(Box<TableStart>),
     /// It was told something.
-    Told(CallEvent),
+    Input(CallEvent),
     /// The administration changed its tenants.
-    Tenants(Vec<Change>),
+    TenantChanges(Vec<Change>),
     /// What it commanded upon the entry before.
-    Commanded(Vec<CallEffect>),
+    Commands(Vec<CallEffect>),
     /// So many entries were dropped here, as whoever writes could not keep up.
     Gap(u64),
 }
 
 /// What a call table begins with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Start {
+pub struct TableStart {
     /// The settings.
     pub settings: Settings,
     /// The module's tuned values.
--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use mallowring::capture::frame::{read, End};
+use mallowring::capture::frame::{read_capture, CaptureEnd};
 use mallowring::capture::replay::replay;
 
 #[test]
@@ -12,8 +12,8 @@
     let mut seen = 0;
     for entry in std::fs::read_dir(dir).expect("the captures are there") {
         let path = entry.expect("an entry").path();
-        let capture = read(&std::fs::read(&path).expect("a file")).expect("a whole capture");
-        assert_eq!(capture.end, End::Whole, "{}", path.display());
+        let capture = read_capture(&std::fs::read(&path).expect("a file")).expect("a whole capture");
+        assert_eq!(capture.end, CaptureEnd::Complete, "{}", path.display());
         let done = replay(&capture.entries);
         assert_eq!(done.difference, None, "{}", path.display());
         assert!(done.inputs > 100 && done.commands > 100, "{}: {done:?}", path.display());
