--- a/src/admin/http.rs
+++ b/src/admin/http.rs
@@ -1,4 +1,4 @@
-//! The tenants' API: JSON over HTTP/1.1, for the operator's and each tenant's own tokens.
+//! The tenants API: JSON over HTTP/1.1. Clients authenticate with the operator's token or a tenant's own token.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,28 +13,32 @@
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
 use crate::net::{or_late, Tasks};
 
-const MOST_HEAD: usize = 8 * 1024;
-const MOST_BODY: usize = 64 * 1024;
-const MOST_HEADERS: usize = 64;
-const MOST_CONNECTIONS: usize = 32;
-/// A connection without a request for this long is closed.
-const IDLE: Duration = Duration::from_secs(30);
+/// The longest request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The longest request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The most header fields of a request.
+const MAX_HEADERS: usize = 64;
+/// The most connections open at a time.
+const MAX_CONNECTIONS: usize = 32;
+/// A connection is closed after this long without progress of a read or a write.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Whom a token stands for.
+/// What a token gives access to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Every tenant, to read and to change.
+    /// Reading and changing every tenant.
     Operator,
-    /// One tenant, to read.
+    /// Reading this one tenant.
     Tenant(String),
 }
 
-/// A secret and what it opens.
+/// A bearer token.
 #[derive(Clone)]
 pub struct Token {
-    /// What stands behind `Bearer`.
+    /// The secret that a client sends after `Bearer`.
     pub secret: String,
-    /// Whom it stands for.
+    /// What it gives access to.
     pub scope: Scope,
 }
 
@@ -44,99 +48,106 @@
     }
 }
 
-/// A request as far as it matters here.
+/// The parts of an HTTP request that the API uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Its path, without a query.
+    /// The path, without a query.
     pub path: String,
-    /// What stands behind `Bearer` in its Authorization.
+    /// The token after `Bearer` in the Authorization header.
     pub bearer: Option<String>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
-    /// The connection is to close after it.
+    /// Whether the connection closes after the response.
     pub close: bool,
 }
 
-/// A response: its code, its body, and the methods allowed where the one asked for is not.
+/// A response: status code, JSON body, and the value of the Allow header if there is one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response(pub u16, pub Value, pub Option<&'static str>);
 
-fn refusal(status: u16, reason: impl ToString) -> Response {
+/// A response with an error message in its body.
+fn error_response(status: u16, reason: impl ToString) -> Response {
     Response(status, json!({"error": reason.to_string()}), None)
 }
 
-/// Reads a request from the start of the bytes, if it is whole, and tells its length.
+/// Parses a request from the start of the bytes; `None` if it is incomplete. Returns the request and its length in
+/// bytes.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, Response> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let length = match head.parse(bytes) {
-        Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() > MOST_HEAD => {
-            return Err(refusal(431, "the head is too long"))
+    let head_length = match head.parse(bytes) {
+        Ok(httparse::Status::Complete(head_length)) => head_length,
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => {
+            return Err(error_response(431, "the head is too long"))
         }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(error) => return Err(refusal(400, error)),
+        Err(error) => return Err(error_response(400, error)),
     };
-    let all = |name: &str| {
-        let same: Vec<_> = head.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).collect();
-        same
+    let fields = |name: &str| {
+        let matching: Vec<_> = head.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).collect();
+        matching
     };
-    let value = |name: &str| all(name).first().and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim);
-    if !all("Transfer-Encoding").is_empty() {
-        return Err(refusal(501, "send a Content-Length: no Transfer-Encoding is understood"));
+    let value =
+        |name: &str| fields(name).first().and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim);
+    if !fields("Transfer-Encoding").is_empty() {
+        return Err(error_response(501, "send a Content-Length: no Transfer-Encoding is understood"));
     }
-    if all("Content-Length").len() > 1 {
-        return Err(refusal(400, "Content-Length is said twice"));
+    if fields("Content-Length").len() > 1 {
+        return Err(error_response(400, "Content-Length is said twice"));
     }
-    let body = match value("Content-Length") {
-        None if !all("Content-Length").is_empty() => return Err(refusal(400, "Content-Length is no number")),
+    let body_length = match value("Content-Length") {
+        None if !fields("Content-Length").is_empty() => {
+            return Err(error_response(400, "Content-Length is no number"))
+        }
         None => 0,
         Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => {
-            text.parse().map_err(|_| refusal(400, "Content-Length is no number"))?
+            text.parse().map_err(|_| error_response(400, "Content-Length is no number"))?
         }
-        Some(_) => return Err(refusal(400, "Content-Length is no number")),
+        Some(_) => return Err(error_response(400, "Content-Length is no number")),
     };
-    if body > MOST_BODY {
-        return Err(refusal(413, "the body is too long"));
+    if body_length > MAX_BODY_BYTES {
+        return Err(error_response(413, "the body is too long"));
     }
-    let Some(body) = bytes.get(length..length + body) else { return Ok(None) };
-    let bearer = value("Authorization").and_then(|v| v.split_once(' '));
+    let Some(body) = bytes.get(head_length..head_length + body_length) else { return Ok(None) };
+    let authorization = value("Authorization").and_then(|v| v.split_once(' '));
     let request = Request {
         method: head.method.unwrap_or("").to_owned(),
         path: head.path.unwrap_or("").split('?').next().unwrap_or("").to_owned(),
-        bearer: bearer
-            .filter(|(how, _)| how.eq_ignore_ascii_case("Bearer"))
-            .map(|(_, t)| t.trim().to_owned()),
+        bearer: authorization
+            .filter(|(scheme, _)| scheme.eq_ignore_ascii_case("Bearer"))
+            .map(|(_, token)| token.trim().to_owned()),
         body: body.to_vec(),
         close: head.version == Some(0)
             || value("Connection").is_some_and(|v| v.eq_ignore_ascii_case("close")),
     };
-    let whole = length + request.body.len();
-    Ok(Some((request, whole)))
+    let request_length = head_length + request.body.len();
+    Ok(Some((request, request_length)))
 }
 
-/// What a tenant's JSON may change; what is absent stays, and a `max_calls` of null takes the limit away.
+/// The body of a PATCH request. Absent keys leave a value unchanged; a `max_calls` of null removes the limit.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Patch {
     suspended: Option<bool>,
-    #[serde(default, deserialize_with = "given")]
+    #[serde(default, deserialize_with = "nullable")]
     max_calls: Option<Option<u32>>,
 }
 
-fn given<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Option<Option<u32>>, D::Error> {
+/// Distinguishes null, `Some(None)`, from an absent key, which takes the default `None`.
+fn nullable<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Option<Option<u32>>, D::Error> {
     Option::<u32>::deserialize(d).map(Some)
 }
 
-fn shown((tenant, counts): &(Tenant, Counts)) -> Value {
+fn tenant_json((tenant, counts): &(Tenant, Counts)) -> Value {
     json!({"name": tenant.name, "suspended": tenant.suspended, "max_calls": tenant.max_calls,
         "counts": counts})
 }
 
-/// The scope of a request; every token is compared in full, so that time tells nothing.
-fn scope(tokens: &[Token], bearer: Option<&str>) -> Option<Scope> {
+/// Finds the scope of a token. Every configured token is compared in constant time, so that the response time reveals
+/// nothing about them.
+fn scope_of(tokens: &[Token], bearer: Option<&str>) -> Option<Scope> {
     let bearer = bearer?.as_bytes();
     let mut found = None;
     for token in tokens {
@@ -156,34 +167,35 @@
             StoreError::NotPersisted(_) => 500,
             StoreError::ShuttingDown => 503,
         };
-        refusal(status, error)
+        error_response(status, error)
     }
 }
 
-/// Answers a request.
+/// Handles a request and returns the response.
 pub async fn handle_request(store: &TenantStore, tokens: &[Token], request: &Request) -> Response {
-    let Some(scope) = scope(tokens, request.bearer.as_deref()) else {
-        return refusal(401, "a valid token is needed, as 'Authorization: Bearer ...'");
+    let Some(scope) = scope_of(tokens, request.bearer.as_deref()) else {
+        return error_response(401, "a valid token is needed, as 'Authorization: Bearer ...'");
     };
     match route(store, &scope, request).await {
         Ok(response) | Err(response) => response,
     }
 }
 
+/// Checks path, method and scope of a request and carries it out.
 async fn route(store: &TenantStore, scope: &Scope, request: &Request) -> Result<Response, Response> {
-    let parts: Vec<&str> = request.path.trim_matches('/').split('/').collect();
-    let (name, verb) = match parts[..] {
+    let segments: Vec<&str> = request.path.trim_matches('/').split('/').collect();
+    let (name, action) = match segments[..] {
         ["v1", "tenants"] => (None, None),
         ["v1", "tenants", name] => (Some(name), None),
-        ["v1", "tenants", name, verb @ ("counts" | "suspend" | "resume")] => (Some(name), Some(verb)),
-        _ => return Err(refusal(404, "there is nothing of that name")),
+        ["v1", "tenants", name, action @ ("counts" | "suspend" | "resume")] => (Some(name), Some(action)),
+        _ => return Err(error_response(404, "there is nothing of that name")),
     };
-    // To a tenant the others are not there, whatever it asks of them.
+    // A tenant's token gets the same 404 for other tenants as for tenants that do not exist.
     let hidden = |tenant: &str| matches!(scope, Scope::Tenant(own) if own != tenant);
     if let Some(name) = name.filter(|name| hidden(name)) {
         return Err(ChangeError::Missing(name.to_owned())).map_err(|e| StoreError::from(e).into());
     }
-    let allowed = match (name, verb) {
+    let allowed = match (name, action) {
         (None, _) => "GET, POST",
         (Some(_), None) => "GET, PATCH, DELETE",
         (Some(_), Some("counts")) => "GET",
@@ -193,23 +205,23 @@
         return Err(Response(405, json!({"error": format!("allowed are {allowed}")}), Some(allowed)));
     }
     if request.method != "GET" && *scope != Scope::Operator {
-        return Err(refusal(403, "only the operator's token changes anything"));
+        return Err(error_response(403, "only the operator's token changes anything"));
     }
-    let one = |name: &str| Change::Set { name: name.to_owned(), suspended: None, max_calls: None };
-    let change = match (request.method.as_str(), name, verb) {
-        ("POST", None, _) => Change::Create(read(&request.body)?),
+    let unchanged = |name: &str| Change::Set { name: name.to_owned(), suspended: None, max_calls: None };
+    let change = match (request.method.as_str(), name, action) {
+        ("POST", None, _) => Change::Create(parse_body(&request.body)?),
         ("PATCH", Some(name), _) => {
-            let Patch { suspended, max_calls } = read(&request.body)?;
+            let Patch { suspended, max_calls } = parse_body(&request.body)?;
             Change::Set { name: name.to_owned(), suspended, max_calls }
         }
-        ("POST", Some(name), Some(verb)) => match one(name) {
+        ("POST", Some(name), Some(action)) => match unchanged(name) {
             Change::Set { name, max_calls, .. } => {
-                Change::Set { name, suspended: Some(verb == "suspend"), max_calls }
+                Change::Set { name, suspended: Some(action == "suspend"), max_calls }
             }
             other => other,
         },
         ("DELETE", Some(name), _) => Change::Delete(name.to_owned()),
-        _ => return look(store, scope, name, verb).await,
+        _ => return get_tenants(store, scope, name, action).await,
     };
     let (status, name) = match &change {
         Change::Create(tenant) => (201, tenant.name.clone()),
@@ -220,34 +232,35 @@
     if status == 204 {
         return Ok(Response(204, Value::Null, None));
     }
-    let Response(_, body, _) = look(store, scope, Some(&name), None).await?;
+    let Response(_, body, _) = get_tenants(store, scope, Some(&name), None).await?;
     Ok(Response(status, body, None))
 }
 
-async fn look(
+/// Returns one tenant, its counts, or all tenants that the scope may read.
+async fn get_tenants(
     store: &TenantStore,
     scope: &Scope,
     name: Option<&str>,
-    verb: Option<&str>,
+    action: Option<&str>,
 ) -> Result<Response, Response> {
-    let all = store.list().await?;
+    let tenants = store.list().await?;
     let Some(name) = name else {
-        let seen = all.iter().filter(|(t, _)| match scope {
+        let visible = tenants.iter().filter(|(t, _)| match scope {
             Scope::Operator => true,
             Scope::Tenant(own) => t.name == *own,
         });
-        return Ok(Response(200, json!({"tenants": seen.map(shown).collect::<Vec<_>>()}), None));
+        return Ok(Response(200, json!({"tenants": visible.map(tenant_json).collect::<Vec<_>>()}), None));
     };
-    let found = all.iter().find(|(t, _)| t.name == name);
+    let found = tenants.iter().find(|(t, _)| t.name == name);
     let found = found.ok_or_else(|| StoreError::from(ChangeError::Missing(name.to_owned())))?;
-    Ok(Response(200, if verb.is_some() { json!(found.1) } else { shown(found) }, None))
+    Ok(Response(200, if action.is_some() { json!(found.1) } else { tenant_json(found) }, None))
 }
 
-fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Response> {
-    serde_json::from_slice(body).map_err(|error| refusal(400, error))
+fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Response> {
+    serde_json::from_slice(body).map_err(|error| error_response(400, error))
 }
 
-fn bytes(response: &Response, close: bool) -> Vec<u8> {
+fn encode_response(response: &Response, close: bool) -> Vec<u8> {
     let Response(status, body, allowed) = response;
     let reason = match status {
         200 => "OK",
@@ -283,38 +296,39 @@
     head.into_bytes()
 }
 
-/// Serves the API for ever.
+/// Accepts connections and serves the API on them until the program ends.
 pub async fn run(tasks: Tasks, listener: TcpListener, store: Rc<TenantStore>, tokens: Vec<Token>) {
     let tokens: Rc<[Token]> = tokens.into();
-    let open = Rc::new(());
+    let connection_count = Rc::new(());
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if Rc::strong_count(&open) <= MOST_CONNECTIONS => {
-                let (store, tokens, open) = (store.clone(), tokens.clone(), open.clone());
+            Ok((stream, _)) if Rc::strong_count(&connection_count) <= MAX_CONNECTIONS => {
+                let (store, tokens, counted) = (store.clone(), tokens.clone(), connection_count.clone());
                 let serve = async move {
-                    let _open = open;
+                    let _counted = counted;
                     if let Err(error) = serve(stream, &store, &tokens).await {
                         tracing::debug!(%error, "administration connection ended");
                     }
                 };
                 tasks.spawn(serve).detach();
             }
-            Ok(_) => tracing::warn!("too many administration connections: one is closed"),
+            Ok(_) => tracing::warn!("too many administration connections: new connection closed"),
             Err(error) => {
-                tracing::error!(%error, "no administration connection could be accepted");
+                tracing::error!(%error, "failed to accept an administration connection");
                 smol::Timer::after(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
+/// Serves one connection until it closes.
 async fn serve(mut stream: TcpStream, store: &TenantStore, tokens: &[Token]) -> std::io::Result<()> {
-    let mut held = Vec::new();
-    let mut piece = vec![0; 4096];
+    let mut buffer = Vec::new();
+    let mut chunk = vec![0; 4096];
     loop {
-        let (response, close) = match parse(&held) {
+        let (response, close) = match parse(&buffer) {
             Ok(Some((request, length))) => {
-                held.drain(..length);
+                buffer.drain(..length);
                 let response = handle_request(store, tokens, &request).await;
                 tracing::info!(
                     method = request.method,
@@ -325,17 +339,17 @@
                 (response, request.close)
             }
             Ok(None) => {
-                let n = or_late(IDLE, stream.read(&mut piece)).await?;
+                let n = or_late(IDLE_TIMEOUT, stream.read(&mut chunk)).await?;
                 if n == 0 {
                     return Ok(());
                 }
-                held.extend_from_slice(&piece[..n]);
+                buffer.extend_from_slice(&chunk[..n]);
                 continue;
             }
-            // Where it ends is not known.
+            // The end of a malformed request is unknown, so the connection closes.
             Err(response) => (response, true),
         };
-        or_late(IDLE, stream.write_all(&bytes(&response, close))).await?;
+        or_late(IDLE_TIMEOUT, stream.write_all(&encode_response(&response, close))).await?;
         if close {
             return Ok(());
         }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The administration: a tenants' API over HTTP and NETCONF over TLS, both on the one store of tenants that the
-//! core holds.
+//! Administration of tenants: a JSON API over HTTP, and NETCONF over TLS. Both work on the tenants in the call table,
+//! through one [`TenantStore`].
 
 pub mod http;
 pub mod netconf;
@@ -16,50 +16,50 @@
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
 use crate::net::engine::EngineMail;
 
-/// Why the store did not do what was asked.
+/// Why a request to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The change makes no sense.
+    /// The change is invalid.
     #[error(transparent)]
     Change(#[from] ChangeError),
-    /// A NETCONF session has locked it.
+    /// A NETCONF session holds the lock.
     #[error("the configuration is locked by session {0}")]
     Locked(u32),
-    /// The change holds, but not beyond a restart.
+    /// The change is in force, but it could not be saved and is lost on a restart.
     #[error("changed, but the file of tenants could not be written: {0}")]
     NotPersisted(io::Error),
-    /// The program ends.
+    /// The program is shutting down.
     #[error("the program ends")]
     ShuttingDown,
 }
 
-/// The way to the tenants, for all interfaces.
+/// Access to the tenants for all administration interfaces.
 #[derive(Debug)]
 pub struct TenantStore {
     engine: Sender<EngineMail>,
     file: Option<PathBuf>,
-    /// One change at a time, so that the file holds the last one.
-    turn: Mutex<()>,
-    lock: Cell<Option<u32>>,
+    /// Serialises changes, so that the file always holds the latest one.
+    change_mutex: Mutex<()>,
+    lock_holder: Cell<Option<u32>>,
 }
 
 impl TenantStore {
-    /// The store that the module's actor holds, kept in a file where one is named.
+    /// A store on the call table that the engine owns. Changes are also saved to `file` if there is one.
     pub fn new(engine: Sender<EngineMail>, file: Option<PathBuf>) -> Self {
-        TenantStore { engine, file, turn: Mutex::new(()), lock: Cell::new(None) }
+        TenantStore { engine, file, change_mutex: Mutex::new(()), lock_holder: Cell::new(None) }
     }
 
-    /// All tenants with their counts.
+    /// Returns all tenants with their counts.
     pub async fn list(&self) -> Result<Vec<(Tenant, Counts)>, StoreError> {
         let (reply, answer) = bounded(1);
         self.engine.send(EngineMail::Tenants(reply)).await.map_err(|_| StoreError::ShuttingDown)?;
         answer.recv().await.map_err(|_| StoreError::ShuttingDown)
     }
 
-    /// Makes all of the changes, or none, for a NETCONF session or somebody else.
-    pub async fn change(&self, by: Option<u32>, changes: Vec<Change>) -> Result<(), StoreError> {
-        let _turn = self.turn.lock().await;
-        if let Some(holder) = self.lock.get().filter(|holder| Some(*holder) != by) {
+    /// Applies all of the changes or none. `session` is the NETCONF session that asks, `None` for other clients.
+    pub async fn change(&self, session: Option<u32>, changes: Vec<Change>) -> Result<(), StoreError> {
+        let _guard = self.change_mutex.lock().await;
+        if let Some(holder) = self.lock_holder.get().filter(|holder| Some(*holder) != session) {
             return Err(StoreError::Locked(holder));
         }
         let (reply, answer) = bounded(1);
@@ -68,31 +68,31 @@
         let Some(file) = self.file.clone() else { return Ok(()) };
         let tenants: Vec<Tenant> = self.list().await?.into_iter().map(|(tenant, _)| tenant).collect();
         smol::unblock(move || {
-            let text = serde_json::to_vec_pretty(&tenants).map_err(io::Error::other)?;
-            let next = file.with_extension("next");
-            std::fs::write(&next, text)?;
-            std::fs::rename(next, file)
+            let json = serde_json::to_vec_pretty(&tenants).map_err(io::Error::other)?;
+            let temporary = file.with_extension("next");
+            std::fs::write(&temporary, json)?;
+            std::fs::rename(temporary, file)
         })
         .await
         .map_err(StoreError::NotPersisted)
     }
 
-    /// Locks the store for a session.
+    /// Locks the store for a session. The error is the session that holds the lock.
     pub fn lock(&self, session: u32) -> Result<(), u32> {
-        match self.lock.get() {
+        match self.lock_holder.get() {
             Some(holder) => Err(holder),
             None => {
-                self.lock.set(Some(session));
+                self.lock_holder.set(Some(session));
                 Ok(())
             }
         }
     }
 
-    /// Takes the lock of a session away; false where it has none.
+    /// Releases the lock of a session; false if the session does not hold it.
     pub fn unlock(&self, session: u32) -> bool {
-        let held = self.lock.get() == Some(session);
+        let held = self.lock_holder.get() == Some(session);
         if held {
-            self.lock.set(None);
+            self.lock_holder.set(None);
         }
         held
     }
