--- a/src/admin/netconf.rs
+++ b/src/admin/netconf.rs
@@ -84,7 +84,7 @@
                 return String::from_utf8(message).map(Some).map_err(|_| "a message is not UTF-8");
             }
             let valid = !header.is_empty() && header[0] != b'0' && header.iter().all(u8::is_ascii_digit);
-            let size = std::str::from_utf8(header).ok().and_then(|digits| digits.parse::<usize>().ok());
+            let size = std::str::from_utf8(header).ok().and_then(|text| text.parse::<usize>().ok());
             let size = size.filter(|n| valid && *n <= MAX_MESSAGE_BYTES).ok_or("a chunk has no size")?;
             if self.buffer.len() < end + 1 + size {
                 return Ok(None);
--- a/src/bin/mallowring-drill.rs
+++ b/src/bin/mallowring-drill.rs
@@ -1,4 +1,4 @@
-//! Serves the simulator's wire on standard input and output.
+//! Serves the simulator's protocol on standard input and output.
 
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
--- a/src/capture/frame.rs
+++ b/src/capture/frame.rs
@@ -1,220 +1,230 @@
-//! The form of a capture: a head, then frames that each can be checked and read alone.
+//! The file format of captures: a header, then frames that can be verified and decoded independently of each other.
 //!
-//! | bytes | head |
+//! | bytes | header |
 //! | --- | --- |
 //! | 6 | `MWCAPT` |
-//! | 2 | version, little-endian like all numbers here |
-//! | 4 | CRC-32 (IEEE) of the eight above |
+//! | 2 | version, little-endian like all numbers in the file |
+//! | 4 | CRC-32 (IEEE) of the preceding 8 bytes |
 //!
 //! | bytes | frame |
 //! | --- | --- |
 //! | 4 | `FRAM` |
-//! | 4, 4, 4 | length stored, length plain, entries |
-//! | 8 | number of the first entry |
-//! | 4, 4 | CRC-32 of what is stored, and of the 28 bytes before this one |
-//! | stored | an LZ4 block of entries in postcard's form, one after the other |
+//! | 4, 4, 4 | compressed length, uncompressed length, number of entries |
+//! | 8 | sequence number of the first entry |
+//! | 4, 4 | CRC-32 of the compressed block, CRC-32 of the preceding 28 bytes |
+//! | compressed length | LZ4 block of consecutive entries in postcard encoding |
 
 use thiserror::Error;
 
 use super::Entry;
 
-/// The version that is written, and the only one that is read.
+/// The format version that is written, and the only one that can be read.
 pub const VERSION: u16 = 1;
 
+/// The first bytes of a capture.
 const MAGIC: &[u8; 6] = b"MWCAPT";
-const HEAD: usize = 12;
-const MARK: &[u8; 4] = b"FRAM";
-const FRAME_HEAD: usize = 32;
-/// A frame is closed once its entries are this long together, bytes.
-const FULL: usize = 32 * 1024;
-/// The longest frame that is believed, bytes: one entry over the usual length fits, a made-up length does not.
-const LONGEST: u32 = 16 * 1024 * 1024;
+/// The length of the file header, in bytes.
+const HEADER_BYTES: usize = 12;
+/// The first bytes of a frame.
+const FRAME_MAGIC: &[u8; 4] = b"FRAM";
+/// The length of a frame header, in bytes.
+const FRAME_HEADER_BYTES: usize = 32;
+/// A frame is closed when its encoded entries reach this length, in bytes.
+const FRAME_FULL_BYTES: usize = 32 * 1024;
+/// The longest block accepted, compressed or not, in bytes. A frame with one unusually long entry fits; an
+/// invented length is rejected.
+const MAX_BLOCK_BYTES: u32 = 16 * 1024 * 1024;
 
-/// Why a capture can't be read any further. Offsets count bytes from its beginning.
+/// Why a capture can't be read or written. Offsets are in bytes from the start of the file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CaptureError {
-    /// It does not begin like one.
-    #[error("this is no capture")]
+    /// The file does not start with the magic bytes of a capture.
+    #[error("this is not a capture")]
     NotACapture,
-    /// Another version has written it.
-    #[error("the capture has version {0}; version {VERSION} is read")]
+    /// The file has another format version.
+    #[error("the capture has format version {0}; only version {VERSION} can be read")]
     UnsupportedVersion(u16),
-    /// A byte is not what was written.
-    #[error("the frame at byte {offset} is damaged: {reason}")]
+    /// The header or a frame is corrupted.
+    #[error("the frame at byte {offset} is corrupted: {reason}")]
     Corrupted {
-        /// Where its frame begins.
+        /// The start of the corrupted frame; 0 for the file header.
         offset: usize,
-        /// What shows it.
+        /// How the corruption shows.
         reason: &'static str,
     },
-    /// An entry can't be put into a form.
-    #[error("an entry can't be written: {0}")]
+    /// An entry can't be encoded.
+    #[error("an entry can't be encoded: {0}")]
     Encoding(String),
 }
 
 /// How a capture ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CaptureEnd {
-    /// After a whole frame.
+    /// After a complete frame, or after the header.
     Complete,
-    /// In the middle of a frame that begins at `offset`.
+    /// In the middle of a frame or of the header.
     Truncated {
-        /// Where it begins.
+        /// The start of the truncated frame; 0 for the file header.
         offset: usize,
-        /// Bytes that are missing of it, where its head is whole.
+        /// How many bytes of the frame are missing; `None` if its header is incomplete.
         missing_bytes: Option<usize>,
-        /// Entries that are missing with it, where its head is whole.
+        /// How many entries the frame contained; `None` if its header is incomplete.
         missing_entries: Option<u32>,
     },
 }
 
-/// What a capture holds.
+/// A decoded capture.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capture {
-    /// Its entries.
+    /// The entries of all complete frames.
     pub entries: Vec<Entry>,
-    /// How it ends.
+    /// How the file ends.
     pub end: CaptureEnd,
 }
 
-/// The head that a capture begins with.
-pub fn header() -> [u8; HEAD] {
-    let mut head = [0; HEAD];
-    head[..6].copy_from_slice(MAGIC);
-    head[6..8].copy_from_slice(&VERSION.to_le_bytes());
-    let crc = crc32fast::hash(&head[..8]);
-    head[8..].copy_from_slice(&crc.to_le_bytes());
-    head
+/// Encodes the file header.
+pub fn header() -> [u8; HEADER_BYTES] {
+    let mut header = [0; HEADER_BYTES];
+    header[..6].copy_from_slice(MAGIC);
+    header[6..8].copy_from_slice(&VERSION.to_le_bytes());
+    let crc = crc32fast::hash(&header[..8]);
+    header[8..].copy_from_slice(&crc.to_le_bytes());
+    header
 }
 
-/// Gathers entries into frames.
+/// Encodes entries into frames.
 #[derive(Debug, Default)]
 pub struct FrameWriter {
-    plain: Vec<u8>,
-    entries: u32,
-    first: u64,
+    uncompressed: Vec<u8>,
+    entry_count: u32,
+    first_seq: u64,
 }
 
 impl FrameWriter {
-    /// None yet.
+    /// A writer without entries.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds an entry; returns a frame to be written where it has become full.
+    /// Adds an entry. Returns the frame to be written if this entry has filled it.
     pub fn push(&mut self, entry: &Entry) -> Result<Option<Vec<u8>>, CaptureError> {
-        if self.entries == 0 {
-            self.first = entry.seq;
+        if self.entry_count == 0 {
+            self.first_seq = entry.seq;
         }
-        let begun = self.plain.len();
-        let plain = std::mem::take(&mut self.plain);
-        match postcard::to_extend(entry, plain) {
-            Ok(plain) => self.plain = plain,
-            // What was gathered is gone with the buffer: it would be no whole frame.
+        let previous_bytes = self.uncompressed.len();
+        let buffer = std::mem::take(&mut self.uncompressed);
+        match postcard::to_extend(entry, buffer) {
+            Ok(buffer) => self.uncompressed = buffer,
+            // A failed encoding consumes the buffer, so the earlier entries of this frame are lost too.
             Err(e) => {
-                let lost = std::mem::take(&mut self.entries);
+                let lost_entries = std::mem::take(&mut self.entry_count);
                 return Err(CaptureError::Encoding(format!(
-                    "{e}; {lost} entries of {begun} bytes are lost with it"
+                    "{e}; {lost_entries} earlier entries ({previous_bytes} bytes) are lost with it"
                 )));
             }
         }
-        self.entries += 1;
-        Ok(if self.plain.len() >= FULL { self.close() } else { None })
+        self.entry_count += 1;
+        Ok(if self.uncompressed.len() >= FRAME_FULL_BYTES { self.close() } else { None })
     }
 
-    /// Closes the frame that is open; nothing if it is empty.
+    /// Closes the current frame and returns it; `None` if it has no entries.
     pub fn close(&mut self) -> Option<Vec<u8>> {
-        if self.entries == 0 {
+        if self.entry_count == 0 {
             return None;
         }
-        let stored = lz4_flex::block::compress(&self.plain);
-        let mut frame = Vec::with_capacity(FRAME_HEAD + stored.len());
-        frame.extend_from_slice(MARK);
-        for n in [stored.len() as u32, self.plain.len() as u32, self.entries] {
+        let compressed = lz4_flex::block::compress(&self.uncompressed);
+        let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + compressed.len());
+        frame.extend_from_slice(FRAME_MAGIC);
+        for n in [compressed.len() as u32, self.uncompressed.len() as u32, self.entry_count] {
             frame.extend_from_slice(&n.to_le_bytes());
         }
-        frame.extend_from_slice(&self.first.to_le_bytes());
-        frame.extend_from_slice(&crc32fast::hash(&stored).to_le_bytes());
+        frame.extend_from_slice(&self.first_seq.to_le_bytes());
+        frame.extend_from_slice(&crc32fast::hash(&compressed).to_le_bytes());
         frame.extend_from_slice(&crc32fast::hash(&frame).to_le_bytes());
-        frame.extend_from_slice(&stored);
-        self.plain.clear();
-        self.entries = 0;
+        frame.extend_from_slice(&compressed);
+        self.uncompressed.clear();
+        self.entry_count = 0;
         Some(frame)
     }
 }
 
-fn number(bytes: &[u8], at: usize) -> u32 {
-    let four = bytes.get(at..at + 4).and_then(|b| b.try_into().ok());
-    four.map_or(0, u32::from_le_bytes)
+/// Reads the number at an offset; 0 beyond the end.
+fn read_u32(bytes: &[u8], offset: usize) -> u32 {
+    let four_bytes = bytes.get(offset..offset + 4).and_then(|b| b.try_into().ok());
+    four_bytes.map_or(0, u32::from_le_bytes)
 }
 
-/// Reads a capture up to its last whole frame. A cut is no error: what is missing is told. A byte that was changed is
-/// one, with the offset of its frame.
+/// Decodes a capture up to its last complete frame. A truncated file is not an error; [`Capture::end`] states what is
+/// missing. A corrupted byte is an error that states the offset of its frame.
 pub fn read_capture(bytes: &[u8]) -> Result<Capture, CaptureError> {
     let mut capture = Capture { entries: Vec::new(), end: CaptureEnd::Complete };
-    let cut = |offset| CaptureEnd::Truncated { offset, missing_bytes: None, missing_entries: None };
-    if bytes.len() < HEAD {
-        let begun = bytes.len().min(MAGIC.len());
-        if bytes[..begun] != MAGIC[..begun] {
+    let truncated = |offset| CaptureEnd::Truncated { offset, missing_bytes: None, missing_entries: None };
+    if bytes.len() < HEADER_BYTES {
+        let magic_bytes = bytes.len().min(MAGIC.len());
+        if bytes[..magic_bytes] != MAGIC[..magic_bytes] {
             return Err(CaptureError::NotACapture);
         }
-        capture.end = cut(0);
+        capture.end = truncated(0);
         return Ok(capture);
     }
     if &bytes[..6] != MAGIC {
         return Err(CaptureError::NotACapture);
     }
-    if number(bytes, 8) != crc32fast::hash(&bytes[..8]) {
-        return Err(CaptureError::Corrupted { offset: 0, reason: "the head's checksum" });
+    if read_u32(bytes, 8) != crc32fast::hash(&bytes[..8]) {
+        return Err(CaptureError::Corrupted {
+            offset: 0,
+            reason: "the checksum of the file header does not match",
+        });
     }
     let version = u16::from_le_bytes([bytes[6], bytes[7]]);
     if version != VERSION {
         return Err(CaptureError::UnsupportedVersion(version));
     }
-    let mut offset = HEAD;
+    let mut offset = HEADER_BYTES;
     while offset < bytes.len() {
-        let rest = &bytes[offset..];
-        let damaged = |reason| CaptureError::Corrupted { offset, reason };
-        if rest.len() < FRAME_HEAD {
-            capture.end = cut(offset);
+        let remaining = &bytes[offset..];
+        let corrupted = |reason| CaptureError::Corrupted { offset, reason };
+        if remaining.len() < FRAME_HEADER_BYTES {
+            capture.end = truncated(offset);
             return Ok(capture);
         }
-        let (head, rest) = rest.split_at(FRAME_HEAD);
-        if &head[..4] != MARK {
-            return Err(damaged("no frame begins here"));
+        let (header, remaining) = remaining.split_at(FRAME_HEADER_BYTES);
+        if &header[..4] != FRAME_MAGIC {
+            return Err(corrupted("no frame starts here"));
         }
-        if number(head, 28) != crc32fast::hash(&head[..28]) {
-            return Err(damaged("the checksum of its head"));
+        if read_u32(header, 28) != crc32fast::hash(&header[..28]) {
+            return Err(corrupted("the checksum of the frame header does not match"));
         }
-        let (stored, plain, entries) = (number(head, 4), number(head, 8), number(head, 12));
-        if stored > LONGEST || plain > LONGEST {
-            return Err(damaged("a length beyond all measure"));
+        let (compressed_bytes, uncompressed_bytes, entry_count) =
+            (read_u32(header, 4), read_u32(header, 8), read_u32(header, 12));
+        if compressed_bytes > MAX_BLOCK_BYTES || uncompressed_bytes > MAX_BLOCK_BYTES {
+            return Err(corrupted("a block length is over the limit"));
         }
-        let stored = stored as usize;
-        let Some(block) = rest.get(..stored) else {
+        let compressed_bytes = compressed_bytes as usize;
+        let Some(block) = remaining.get(..compressed_bytes) else {
             capture.end = CaptureEnd::Truncated {
                 offset,
-                missing_bytes: Some(stored - rest.len()),
-                missing_entries: Some(entries),
+                missing_bytes: Some(compressed_bytes - remaining.len()),
+                missing_entries: Some(entry_count),
             };
             return Ok(capture);
         };
-        if number(head, 24) != crc32fast::hash(block) {
-            return Err(damaged("its checksum"));
+        if read_u32(header, 24) != crc32fast::hash(block) {
+            return Err(corrupted("the checksum of the block does not match"));
         }
-        let plain = lz4_flex::block::decompress(block, plain as usize)
-            .map_err(|_| damaged("it can't be decompressed"))?;
-        let mut left = plain.as_slice();
-        for _ in 0..entries {
+        let uncompressed = lz4_flex::block::decompress(block, uncompressed_bytes as usize)
+            .map_err(|_| corrupted("the block can't be decompressed"))?;
+        let mut undecoded = uncompressed.as_slice();
+        for _ in 0..entry_count {
             let (entry, rest) =
-                postcard::take_from_bytes(left).map_err(|_| damaged("an entry of another form"))?;
+                postcard::take_from_bytes(undecoded).map_err(|_| corrupted("an entry can't be decoded"))?;
             capture.entries.push(entry);
-            left = rest;
+            undecoded = rest;
         }
-        if !left.is_empty() {
-            return Err(damaged("more than its entries"));
+        if !undecoded.is_empty() {
+            return Err(corrupted("the block is longer than its entries"));
         }
-        offset += FRAME_HEAD + stored;
+        offset += FRAME_HEADER_BYTES + compressed_bytes;
     }
     Ok(capture)
 }
--- a/src/capture/mod.rs
+++ b/src/capture/mod.rs
@@ -1,7 +1,7 @@
-//! What a proxy was told and what it decided, kept so that it can be decided again. Nothing here does I/O: frames
-//! are bytes that somebody else writes and reads.
+//! Captures: records of a proxy's inputs and of the commands that answered them, for replay. Nothing here does I/O;
+//! the caller reads and writes the bytes.
 //!
-//! Every input has a number of its own, so that those of one moment come again in their true order.
+//! Entries carry sequence numbers, so that inputs with the same time replay in their original order.
 
 pub mod frame;
 pub mod replay;
@@ -15,38 +15,38 @@
 /// One entry of a capture.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number, counting up by one from 0 for each call table.
+    /// The sequence number, counting up by one from 0 for each call table.
     pub seq: u64,
-    /// The proxy's clock, seconds.
+    /// The time on the proxy's clock, in seconds.
     pub at: Time,
-    /// What happened.
+    /// What the entry records.
     pub kind: EntryKind,
 }
 
-/// What happened.
+/// The kinds of entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// A call table began, knowing nothing but this.
+    /// A call table was created from these values and no other state.
     Start(Box<TableStart>),
-    /// It was told something.
+    /// The call table received an input.
     Input(CallEvent),
-    /// The administration changed its tenants.
+    /// An administration interface changed the tenants.
     TenantChanges(Vec<Change>),
-    /// What it commanded upon the entry before.
+    /// The commands with which the call table answered the preceding input. Omitted if there were none.
     Commands(Vec<CallEffect>),
-    /// So many entries were dropped here, as whoever writes could not keep up.
+    /// This many entries are missing here because the writer of the capture could not keep up.
     Gap(u64),
 }
 
-/// What a call table begins with.
+/// The initial values of a call table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableStart {
     /// The settings.
     pub settings: Settings,
-    /// The module's tuned values.
+    /// The tuned values of the controller.
     pub tuning: Tuning,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// The seed.
+    /// The seed of the controller's random numbers.
     pub seed: u64,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! Routing and admission decisions for the call servers of a private voice network.
+//! A signalling proxy for a private voice network, and its decision module for routing and admission control.
 //!
-//! One [`Controller`] decides for one call server. It is pure: the caller hands it each [`interface::Event`]
-//! with the time, and carries out the [`interface::Action`]s it appends. It knows nothing but these events.
+//! One [`Controller`] makes the decisions of one signalling proxy. It does no I/O and reads no clock: its owner passes
+//! in each [`interface::Event`] with the time, and carries out the [`interface::Action`]s that the controller appends.
+//! Its decisions depend on its settings, its seed and these events only.
 //!
 //! ```
 //! use mallowring::interface::*;
@@ -24,13 +25,13 @@
 //! let mut actions = Vec::new();
 //! controller.start(Time(100.0), &mut actions);
 //!
-//! // The list of offices names exchange 1.
+//! // The roster contains exchange 1.
 //! let far = RosterEntry { id: ExchangeId(71), zone: "north".into(), number: ExchangeNumber(1),
 //!     state: ServiceState::InService, weight: 1.0, ready_at: None };
 //! let roster = Event::Roster { kind: RosterKind::Full, entries: vec![far] };
 //! controller.handle(Time(100.0), roster, &mut actions);
 //!
-//! // A call to exchange 1 goes there, directly.
+//! // A call to exchange 1 is routed directly.
 //! let call = Arrival { id: CallId("c-1".into()), ttl: 3.0, transit: false, hop: None,
 //!     re_established: false, width: 1, redial: false, dest: ExchangeNumber(1), class: ClassIndex(0),
 //!     number: None };
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one real signalling proxy.
+//! The signalling proxy: reads its configuration and runs until it is told to stop.
 
 use std::process::ExitCode;
 
@@ -14,13 +14,13 @@
             return ExitCode::FAILURE;
         }
     };
-    let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-    log.with_max_level(config.log).init();
+    let subscriber = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
+    subscriber.with_max_level(config.log).init();
     telemetry::install();
     match net::Node::bind(config).and_then(net::Node::run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(%error, "the signalling proxy can't run");
+            tracing::error!(%error, "the signalling proxy failed");
             ExitCode::FAILURE
         }
     }
