--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -1,5 +1,5 @@
-//! Past failures, decided again. A capture that decides differently is flagged with the input that shows it; a
-//! change that is meant to alter decisions renews them with `scripts/renew-captures`.
+//! Replays captures of past failures. A capture whose decisions differ fails the test, which prints the input with the
+//! first difference. A change that is meant to alter decisions renews the captures with `scripts/renew-captures`.
 
 use std::path::Path;
 
@@ -7,17 +7,18 @@
 use mallowring::capture::replay::replay;
 
 #[test]
-fn past_failures_are_decided_as_they_were() {
+fn captures_of_past_failures_replay_with_the_same_decisions() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/captures");
-    let mut seen = 0;
-    for entry in std::fs::read_dir(dir).expect("the captures are there") {
-        let path = entry.expect("an entry").path();
-        let capture = read_capture(&std::fs::read(&path).expect("a file")).expect("a whole capture");
+    let mut count = 0;
+    for entry in std::fs::read_dir(dir).expect("the directory of captures exists") {
+        let path = entry.expect("the directory can be read").path();
+        let capture = read_capture(&std::fs::read(&path).expect("the capture can be read"))
+            .expect("the capture is valid");
         assert_eq!(capture.end, CaptureEnd::Complete, "{}", path.display());
-        let done = replay(&capture.entries);
-        assert_eq!(done.difference, None, "{}", path.display());
-        assert!(done.inputs > 100 && done.commands > 100, "{}: {done:?}", path.display());
-        seen += 1;
+        let report = replay(&capture.entries);
+        assert_eq!(report.difference, None, "{}", path.display());
+        assert!(report.inputs > 100 && report.commands > 100, "{}: {report:?}", path.display());
+        count += 1;
     }
-    assert!(seen >= 4, "{seen} captures");
+    assert!(count >= 4, "{count} captures");
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,11 +1,12 @@
-//! Configuration: what is read, and that every error names the key at fault.
+//! Configuration: the values read from the files and the environment, and errors that name the key at fault.
 
 use std::collections::BTreeMap;
 
 use mallowring::config::{Config, ConfigError};
 use serde_json::{json, Value};
 
-fn node() -> Value {
+/// A valid node configuration.
+fn node_config() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:2905", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "bulletin": "127.0.0.1:9092", "known": {"no": 3, "items": []},
@@ -13,23 +14,24 @@
             "limits": {"connect_timeout": 0.25}, "tenants": [{"name": "acme", "portion": 0.5}]}})
 }
 
-/// Reads with a file of this content under the given variable.
-fn read(variable: &str, content: &str, more: &[(&str, &str)]) -> Result<Config, ConfigError> {
+/// Reads the configuration with `variable` set to the path of a file with this content.
+fn read(variable: &str, content: &str, more_variables: &[(&str, &str)]) -> Result<Config, ConfigError> {
     let dir = std::env::temp_dir();
     let unique = format!("{:?}", std::thread::current().id()).replace(['(', ')'], "-");
     let path = dir.join(format!("mallowring-config-{}-{unique}", std::process::id()));
-    std::fs::write(&path, content).expect("a file");
+    std::fs::write(&path, content).expect("the file can be written");
     let mut env = BTreeMap::from([(variable.to_owned(), path.display().to_string())]);
-    env.extend(more.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())));
+    env.extend(more_variables.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())));
     let config = Config::read(&env);
-    std::fs::remove_file(&path).expect("the file is there");
+    std::fs::remove_file(&path).expect("the file can be removed");
     config
 }
 
 #[test]
-fn the_platforms_file_is_read_and_the_environment_goes_first() {
-    let config = read("NODE_CONFIG", &node().to_string(), &[("NODE_LISTEN", "127.0.0.2:1")]).expect("fine");
-    let platform = config.platform.expect("the platform's front is on");
+fn the_platforms_file_is_read_and_the_environment_takes_precedence() {
+    let config = read("NODE_CONFIG", &node_config().to_string(), &[("NODE_LISTEN", "127.0.0.2:1")])
+        .expect("the configuration is valid");
+    let platform = config.platform.expect("the platform front is on");
     assert_eq!(platform.listen.to_string(), "127.0.0.2:1");
     assert_eq!(
         (config.name.as_str(), config.seed, platform.source.known_no),
@@ -37,7 +39,7 @@
     );
     assert_eq!(config.connect_timeout, 0.25);
     assert_eq!(config.tenants[0].name, "acme");
-    assert!(config.sip.is_none(), "off on the platform");
+    assert!(config.sip.is_none(), "the SIP front is off on the platform");
 }
 
 #[test]
@@ -55,32 +57,38 @@
         ("/settings/tenants/0/name", json!(null)),
     ];
     for (pointer, value) in cases {
-        let mut node = node();
-        *node.pointer_mut(pointer).expect("the key is there") = value;
-        let error = read("NODE_CONFIG", &node.to_string(), &[]).expect_err(pointer).to_string();
-        // The last name of the path, as messages write indices their own way.
-        let key = pointer.rsplit('/').next().expect("a name");
+        let mut config = node_config();
+        *config.pointer_mut(pointer).expect("the key exists") = value;
+        let error = read("NODE_CONFIG", &config.to_string(), &[]).expect_err(pointer).to_string();
+        // Error messages write array indices differently, so only the last key of the path is compared.
+        let key = pointer.rsplit('/').next().expect("the pointer has a key");
         assert!(error.contains(key), "{pointer}: {error}");
     }
-    let error =
-        |env: &[(&str, &str)]| read("NODE_CONFIG", &node().to_string(), env).expect_err("bad").to_string();
+    let error = |env: &[(&str, &str)]| {
+        read("NODE_CONFIG", &node_config().to_string(), env)
+            .expect_err("the configuration is invalid")
+            .to_string()
+    };
     assert!(error(&[("MALLOWRING_LOG", "loud")]).contains("MALLOWRING_LOG"));
     assert!(error(&[("NODE_LISTEN", "here")]).contains("NODE_LISTEN"));
-    assert!(Config::read(&BTreeMap::new()).expect_err("nothing").to_string().contains("NODE_CONFIG"));
-    let mut missing = node();
-    missing.as_object_mut().expect("an object").remove("bulletin");
+    assert!(Config::read(&BTreeMap::new())
+        .expect_err("no file is named")
+        .to_string()
+        .contains("NODE_CONFIG"));
+    let mut missing = node_config();
+    missing.as_object_mut().expect("the configuration is an object").remove("bulletin");
     assert!(read("NODE_CONFIG", &missing.to_string(), &[])
-        .expect_err("bad")
+        .expect_err("the configuration is invalid")
         .to_string()
         .contains("bulletin"));
 }
 
 #[test]
-fn the_service_file_of_the_repository_is_fine_and_its_errors_name_the_key() {
-    let text = std::fs::read_to_string("deploy/service.toml").expect("the file");
-    let config = read("MALLOWRING_SERVICE", &text, &[]).expect("fine");
+fn the_service_file_of_the_repository_is_valid_and_errors_in_it_name_the_key() {
+    let text = std::fs::read_to_string("deploy/service.toml").expect("the service file can be read");
+    let config = read("MALLOWRING_SERVICE", &text, &[]).expect("the configuration is valid");
     assert!(config.platform.is_none());
-    assert_eq!(config.sip.expect("on").exchanges.len(), 2);
+    assert_eq!(config.sip.expect("the SIP front is on").exchanges.len(), 2);
     let cases = [
         ("transport = \"udp\"", "transport = \"smoke\"", "sip.exchanges[1].transport"),
         ("prefixes = [\"5021\"]", "prefixes = []", "sip.exchanges[0].prefixes"),
@@ -97,14 +105,14 @@
     }
 }
 
-/// The program itself: bad configuration ends it with a failure that names the key.
+/// Runs the program itself: an unreadable configuration makes it exit with a failure that names the file.
 #[test]
-fn the_program_does_not_start_on_bad_configuration() {
+fn the_program_does_not_start_with_an_unreadable_configuration() {
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_mallowring"))
         .env_clear()
         .env("NODE_CONFIG", "/nonexistent/config.json")
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("/nonexistent/config.json"));
 }
