--- a/src/admin/http.rs
+++ b/src/admin/http.rs
@@ -131,12 +131,12 @@
 #[serde(deny_unknown_fields)]
 struct Patch {
     suspended: Option<bool>,
-    #[serde(default, deserialize_with = "nullable")]
+    #[serde(default, deserialize_with = "given")]
     max_calls: Option<Option<u32>>,
 }
 
 /// Distinguishes null, `Some(None)`, from an absent key, which takes the default `None`.
-fn nullable<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Option<Option<u32>>, D::Error> {
+fn given<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Option<Option<u32>>, D::Error> {
     Option::<u32>::deserialize(d).map(Some)
 }
 
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -165,7 +165,7 @@
 
 impl Certificates {
     fn new() -> Certificates {
-        let mut params = CertificateParams::new(Vec::<String>::new()).expect("the parameters are valid");
+        let mut params = CertificateParams::new(Vec::<String>::new()).expect("parameters");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         let key = KeyPair::generate().expect("a key is generated");
         Certificates {
@@ -175,7 +175,7 @@
 
     fn issue(&self, name: &str) -> (rcgen::Certificate, KeyPair) {
         let key = KeyPair::generate().expect("a key is generated");
-        let params = CertificateParams::new(vec![name.to_owned()]).expect("the parameters are valid");
+        let params = CertificateParams::new(vec![name.to_owned()]).expect("parameters");
         (params.signed_by(&key, &self.authority).expect("the authority signs the certificate"), key)
     }
 }
@@ -201,7 +201,7 @@
         let provider = Arc::new(futures_rustls::rustls::crypto::ring::default_provider());
         let config = ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .expect("the TLS versions are supported")
+            .expect("versions")
             .with_root_certificates(roots)
             .with_client_auth_cert(
                 vec![certificate.der().clone()],
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -29,8 +29,8 @@
 
 #[test]
 fn the_platforms_file_is_read_and_the_environment_takes_precedence() {
-    let config = read("NODE_CONFIG", &node_config().to_string(), &[("NODE_LISTEN", "127.0.0.2:1")])
-        .expect("the configuration is valid");
+    let config =
+        read("NODE_CONFIG", &node_config().to_string(), &[("NODE_LISTEN", "127.0.0.2:1")]).expect("fine");
     let platform = config.platform.expect("the platform front is on");
     assert_eq!(platform.listen.to_string(), "127.0.0.2:1");
     assert_eq!(
@@ -65,20 +65,15 @@
         assert!(error.contains(key), "{pointer}: {error}");
     }
     let error = |env: &[(&str, &str)]| {
-        read("NODE_CONFIG", &node_config().to_string(), env)
-            .expect_err("the configuration is invalid")
-            .to_string()
+        read("NODE_CONFIG", &node_config().to_string(), env).expect_err("bad").to_string()
     };
     assert!(error(&[("MALLOWRING_LOG", "loud")]).contains("MALLOWRING_LOG"));
     assert!(error(&[("NODE_LISTEN", "here")]).contains("NODE_LISTEN"));
-    assert!(Config::read(&BTreeMap::new())
-        .expect_err("no file is named")
-        .to_string()
-        .contains("NODE_CONFIG"));
+    assert!(Config::read(&BTreeMap::new()).expect_err("nothing").to_string().contains("NODE_CONFIG"));
     let mut missing = node_config();
     missing.as_object_mut().expect("the configuration is an object").remove("bulletin");
     assert!(read("NODE_CONFIG", &missing.to_string(), &[])
-        .expect_err("the configuration is invalid")
+        .expect_err("bad")
         .to_string()
         .contains("bulletin"));
 }
@@ -86,9 +81,9 @@
 #[test]
 fn the_service_file_of_the_repository_is_valid_and_errors_in_it_name_the_key() {
     let text = std::fs::read_to_string("deploy/service.toml").expect("the service file can be read");
-    let config = read("MALLOWRING_SERVICE", &text, &[]).expect("the configuration is valid");
+    let config = read("MALLOWRING_SERVICE", &text, &[]).expect("fine");
     assert!(config.platform.is_none());
-    assert_eq!(config.sip.expect("the SIP front is on").exchanges.len(), 2);
+    assert_eq!(config.sip.expect("on").exchanges.len(), 2);
     let cases = [
         ("transport = \"udp\"", "transport = \"smoke\"", "sip.exchanges[1].transport"),
         ("prefixes = [\"5021\"]", "prefixes = []", "sip.exchanges[0].prefixes"),
