--- a/crates/lab/src/captures.rs
+++ b/crates/lab/src/captures.rs
@@ -40,8 +40,8 @@
     let mut text = format!(
         "{}: {} inputs decided again, {} commands the same",
         path.display(),
-        done.inputs,
-        done.commands
+        done.events,
+        done.effects
     );
     if let CaptureEnd::Truncated { offset, missing_bytes: bytes, missing_entries: entries } = capture.end {
         let missing = match (bytes, entries) {
--- a/crates/lab/src/proxy/recorded.rs
+++ b/crates/lab/src/proxy/recorded.rs
@@ -51,12 +51,12 @@
     fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         for (proxy, inputs) in told {
             for input in inputs {
-                self.keep(proxy, now, EntryKind::Input(input.clone()));
+                self.keep(proxy, now, EntryKind::Event(input.clone()));
                 let from = out.len();
                 self.inner.tick(now, vec![(proxy, vec![input])], out)?;
                 let commands: Vec<CallEffect> = out[from..].iter().map(|(_, c)| c.clone()).collect();
                 if !commands.is_empty() {
-                    self.keep(proxy, now, EntryKind::Commands(commands));
+                    self.keep(proxy, now, EntryKind::Effects(commands));
                 }
             }
         }
--- a/crates/lab/tests/capture.rs
+++ b/crates/lab/tests/capture.rs
@@ -43,7 +43,7 @@
         assert_eq!(again.entries, entries);
         let done = replay(&again.entries);
         assert_eq!(done.difference, None);
-        assert!(done.inputs > 300 && done.commands > 200, "{done:?}");
+        assert!(done.events > 300 && done.effects > 200, "{done:?}");
         assert_eq!((done.skipped_entries, done.dropped_entries), (0, 0));
     }
 }
@@ -59,7 +59,7 @@
     }
     let difference = replay(&entries).difference.expect("other values decide otherwise");
     assert_ne!(difference.recorded, difference.replayed);
-    assert!(matches!(difference.entry.kind, EntryKind::Input(_)));
+    assert!(matches!(difference.entry.kind, EntryKind::Event(_)));
 }
 
 #[test]
@@ -135,7 +135,7 @@
         Entry {
             seq,
             at: Time(1000.0),
-            kind: EntryKind::Input(CallEvent::Status { exchange: ExchangeId(seq), report }),
+            kind: EntryKind::Event(CallEvent::Status { exchange: ExchangeId(seq), report }),
         }
     };
     let entries: Vec<Entry> = (0..5000).map(entry).collect();
@@ -143,7 +143,7 @@
     assert_eq!(again.iter().map(|e| e.seq).collect::<Vec<_>>(), (0..5000).collect::<Vec<_>>());
     let bits = |entries: &[Entry]| -> Vec<u64> {
         let wait = |e: &Entry| match &e.kind {
-            EntryKind::Input(CallEvent::Status { report, .. }) => {
+            EntryKind::Event(CallEvent::Status { report, .. }) => {
                 report.queueing_delay.map_or(0, f64::to_bits)
             }
             _ => 0,
--- a/src/capture/mod.rs
+++ b/src/capture/mod.rs
@@ -29,11 +29,11 @@
     /// A call table was created from these values and no other state.
     Start(Box<TableStart>),
     /// The call table received an input.
-    Input(CallEvent),
+    Event(CallEvent),
     /// An administration interface changed the tenants.
     TenantChanges(Vec<Change>),
     /// The commands with which the call table answered the preceding input. Omitted if there were none.
-    Commands(Vec<CallEffect>),
+    Effects(Vec<CallEffect>),
     /// This many entries are missing here because the writer of the capture could not keep up.
     Gap(u64),
 }
--- a/src/capture/replay.rs
+++ b/src/capture/replay.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayReport {
     /// Inputs that were decided again.
-    pub inputs: u64,
+    pub events: u64,
     /// Commands that came out the same.
-    pub commands: u64,
+    pub effects: u64,
     /// Entries before the first start: nothing can be said of them.
     pub skipped_entries: u64,
     /// Entries that were dropped when the capture was made. What follows is only decided again from the next start on.
@@ -47,19 +47,19 @@
                 done.dropped_entries += dropped;
                 table = None;
             }
-            (EntryKind::Commands(_), Some(_)) => {}
+            (EntryKind::Effects(_), Some(_)) => {}
             (_, None) => done.skipped_entries += 1,
             (EntryKind::TenantChanges(changes), Some(table)) => {
                 // A change that was refused then is refused again: it left no trace in either.
                 let _ = table.tenants_mut().change(changes);
             }
-            (EntryKind::Input(input), Some(table)) => {
+            (EntryKind::Event(event), Some(table)) => {
                 out.clear();
-                table.handle(entry.at, input.clone(), &mut out);
-                done.inputs += 1;
+                table.handle(entry.at, event.clone(), &mut out);
+                done.events += 1;
                 // Where nothing was commanded nothing was written.
                 let recorded: &[CallEffect] = match entries.get(ix + 1).map(|e| &e.kind) {
-                    Some(EntryKind::Commands(commands)) => commands,
+                    Some(EntryKind::Effects(effects)) => effects,
                     _ => &[],
                 };
                 if recorded != out {
@@ -67,7 +67,7 @@
                     done.difference = Some(Box::new(Difference { entry: entry.clone(), recorded, replayed }));
                     return done;
                 }
-                done.commands += out.len() as u64;
+                done.effects += out.len() as u64;
             }
         }
     }
--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -17,7 +17,7 @@
         assert_eq!(capture.end, CaptureEnd::Complete, "{}", path.display());
         let report = replay(&capture.entries);
         assert_eq!(report.difference, None, "{}", path.display());
-        assert!(report.inputs > 100 && report.commands > 100, "{}: {report:?}", path.display());
+        assert!(report.events > 100 && report.effects > 100, "{}: {report:?}", path.display());
         count += 1;
     }
     assert!(count >= 4, "{count} captures");
