--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The one place where configuration is read, checked and given defaults. Its errors name the key at fault.
+//! Reads and validates the whole configuration and applies its defaults. Errors name the invalid key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,179 +24,182 @@
 use crate::sip::header::{Hop, Transport};
 use crate::wire;
 
-/// What can be wrong with the configuration.
+/// Why the configuration can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable of the environment is missing or means nothing.
-    #[error("environment: {key}: {what}")]
+    /// An environment variable is missing or invalid.
+    #[error("environment: {key}: {reason}")]
     Environment {
         /// The variable.
         key: &'static str,
-        /// What is wrong.
-        what: String,
+        /// Why it is invalid.
+        reason: String,
     },
     /// A file can't be read.
     #[error("{path}: {source}")]
     File {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// A key of a file is missing or means nothing.
-    #[error("{path}: {key}: {what}")]
+    /// A key of a file is missing or invalid.
+    #[error("{path}: {key}: {reason}")]
     Key {
         /// The file.
         path: PathBuf,
         /// The key.
         key: String,
-        /// What is wrong.
-        what: String,
+        /// Why it is invalid.
+        reason: String,
     },
 }
 
-/// All that a signalling proxy is told at its start.
+/// The configuration of a signalling proxy.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The proxy's name, which stays the same over restarts.
     pub name: String,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// The most file descriptors.
-    pub sockets: usize,
-    /// The most memory, in MB.
+    /// The most file descriptors that the process may open.
+    pub max_descriptors: usize,
+    /// The most memory that the process may use, in MB.
     pub memory_mb: usize,
-    /// The platform's front; off where the environment names no configuration of the platform's.
+    /// The platform front; `None` if the environment names no node configuration.
     pub platform: Option<Platform>,
-    /// The SIP front; off where the environment names no service file or that has none.
+    /// The SIP front; `None` if there is no service file or no `sip` section in it.
     pub sip: Option<Sip>,
-    /// The settings of the module.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The administration; off where the environment names no service file or that has none.
+    /// The administration; `None` if there is no service file or no `admin` section in it.
     pub admin: Option<Admin>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// How long a connection to an exchange may take to come up.
+    /// How long connecting to an exchange may take, in seconds.
     pub connect_timeout: Secs,
-    /// The least severe log lines to write.
-    pub log: tracing::Level,
-    /// Where all of this comes from.
-    pub origin: Origin,
+    /// The least severe level of log lines to write.
+    pub log_level: tracing::Level,
+    /// Where the configuration was read, for a reload.
+    pub reload_source: ConfigSource,
 }
 
-/// The platform's front, its exchanges and its list.
+/// The platform front and the service that sends its roster.
 #[derive(Debug)]
 pub struct Platform {
-    /// Where callers connect.
+    /// The address on which it accepts callers.
     pub listen: SocketAddr,
-    /// The bulletin, and what it has told so far.
-    pub source: Source,
+    /// The discovery service and the roster events already known.
+    pub roster_source: Source,
 }
 
-/// Where the configuration was read, to read it again.
+/// The environment and the node configuration as last read, to read the configuration again.
 #[derive(Clone, Debug)]
-pub struct Origin {
+pub struct ConfigSource {
     env: BTreeMap<String, String>,
-    /// The platform's file as it stood.
-    file: Value,
+    /// The node configuration; null if there is none.
+    node_file: Value,
 }
 
-impl Origin {
-    /// Reads the configuration again. A bad one is logged with its key and changes nothing; of a good one the
-    /// bulletin counts at once, and what does not is logged.
-    pub fn again(&mut self) -> Option<Source> {
+impl ConfigSource {
+    /// Reads the configuration again. An invalid one is logged with its key and changes nothing. Of a valid one, only the
+    /// discovery service takes effect at once; changed keys that need a restart are logged.
+    pub fn reload(&mut self) -> Option<Source> {
         let config = match Config::read(&self.env) {
             Ok(config) => config,
             Err(error) => {
-                tracing::error!(%error, "the configuration read again is bad: the old one stays in force");
+                tracing::error!(%error, "the reloaded configuration is invalid; the previous one stays in force");
                 return None;
             }
         };
-        let new = config.origin.file;
-        let waits: Vec<_> = ["name", "listen", "limits", "settings"]
+        let new_file = config.reload_source.node_file;
+        let changed_keys: Vec<_> = ["name", "listen", "limits", "settings"]
             .into_iter()
-            .filter(|key| new.get(key) != self.file.get(key))
+            .filter(|key| new_file.get(key) != self.node_file.get(key))
             .collect();
         tracing::info!("configuration read again");
-        if !waits.is_empty() {
-            tracing::warn!(keys = ?waits, "changed keys that count from the next start only");
+        if !changed_keys.is_empty() {
+            tracing::warn!(keys = ?changed_keys, "changed keys that take effect only after a restart");
         }
-        self.file = new;
-        config.platform.map(|platform| platform.source)
+        self.node_file = new_file;
+        config.platform.map(|platform| platform.roster_source)
     }
 }
 
-/// The SIP front and the exchanges that speak SIP.
+/// The SIP front and its exchanges.
 #[derive(Debug)]
 pub struct Sip {
-    /// Where it listens, for UDP and TCP.
+    /// The address on which it listens, over UDP and TCP.
     pub listen: SocketAddr,
-    /// The class of calls with `Priority: emergency`.
+    /// The name of the class of calls with `Priority: emergency`.
     pub urgent_class: String,
-    /// The exchanges.
+    /// The exchanges that use SIP.
     pub exchanges: Vec<Exchange>,
 }
 
-/// The administration's interfaces.
+/// The administration interfaces.
 #[derive(Debug)]
 pub struct Admin {
-    /// The file that keeps the tenants beyond a restart.
-    pub store: Option<PathBuf>,
-    /// The tenants' API: where it listens, and the tokens.
+    /// The file in which changed tenants are saved, so that they survive a restart.
+    pub tenants_file: Option<PathBuf>,
+    /// The tenants API: the address on which it listens, and its tokens.
     pub http: Option<(SocketAddr, Vec<Token>)>,
-    /// NETCONF: where it listens, how TLS is spoken, who may come in.
+    /// NETCONF: the address on which it listens, its TLS configuration, and the clients that may open sessions.
     pub netconf: Option<(SocketAddr, Arc<ServerConfig>, Vec<Client>)>,
 }
 
+/// The node configuration.
 #[derive(Deserialize)]
-struct NodeW {
+struct NodeFile {
     name: Option<String>,
     listen: Option<SocketAddr>,
     seed: Value,
     #[serde(default)]
-    limits: LimitsW,
+    limits: NodeLimits,
     bulletin: SocketAddr,
-    known: KnownW,
+    known: KnownEvents,
     settings: Value,
 }
 
 #[derive(Deserialize, Default)]
-struct LimitsW {
+struct NodeLimits {
     sockets: Option<usize>,
     memory_mb: Option<f64>,
 }
 
+/// The roster events that are known at the start, and the number of the last one.
 #[derive(Deserialize)]
-struct KnownW {
+struct KnownEvents {
     no: u64,
     items: Vec<Value>,
 }
 
 #[derive(Deserialize)]
-struct TenantW {
+struct TenantEntry {
     name: String,
 }
 
+/// The operators' service file.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
-struct ServiceW {
+struct ServiceFile {
     name: Option<String>,
-    sip: Option<SipW>,
-    admin: Option<AdminW>,
+    sip: Option<SipSection>,
+    admin: Option<AdminSection>,
     settings: Option<Value>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SipW {
+struct SipSection {
     listen: SocketAddr,
     urgent_class: String,
-    exchanges: Vec<ExchangeW>,
+    exchanges: Vec<ExchangeEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ExchangeW {
+struct ExchangeEntry {
     number: i64,
     prefixes: Vec<String>,
     address: SocketAddr,
@@ -206,177 +209,189 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct AdminW {
+struct AdminSection {
     store: Option<PathBuf>,
-    http: Option<HttpW>,
-    netconf: Option<NetconfW>,
+    http: Option<HttpSection>,
+    netconf: Option<NetconfSection>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct HttpW {
+struct HttpSection {
     listen: SocketAddr,
-    tokens: Vec<TokenW>,
+    tokens: Vec<TokenEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct TokenW {
+struct TokenEntry {
     file: PathBuf,
     tenant: Option<String>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NetconfW {
+struct NetconfSection {
     listen: SocketAddr,
     certificate: PathBuf,
     key: PathBuf,
     authority: PathBuf,
-    clients: Vec<ClientW>,
+    clients: Vec<ClientEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ClientW {
+struct ClientEntry {
     name: String,
     certificate: PathBuf,
 }
 
-/// The descriptors taken to be allowed where nothing tells.
-const SOCKETS: usize = 1024;
-/// The time for a connection to come up where the settings do not tell.
-const CONNECT_TIMEOUT: Secs = 0.5;
-/// Ids of exchanges that speak SIP begin here, beyond all that the list may give.
-const SIP_OFFICES: u64 = 1 << 32;
+/// The most file descriptors if the node configuration sets no limit.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// How long connecting to an exchange may take if the settings set no time, in seconds.
+const DEFAULT_CONNECT_TIMEOUT: Secs = 0.5;
+/// The first id of an exchange that uses SIP, above all ids that the roster may contain.
+const FIRST_SIP_EXCHANGE_ID: u64 = 1 << 32;
 
-/// A file, to name in what is wrong with it.
-struct File<'a>(&'a Path);
+/// A configuration file, named in the errors about it.
+struct ConfigFile<'a>(&'a Path);
 
-impl File<'_> {
-    fn text(&self) -> Result<String, ConfigError> {
+impl ConfigFile<'_> {
+    fn read_text(&self) -> Result<String, ConfigError> {
         std::fs::read_to_string(self.0)
             .map_err(|source| ConfigError::File { path: self.0.to_owned(), source })
     }
 
-    fn fault(&self, key: impl Into<String>, what: impl Into<String>) -> ConfigError {
-        ConfigError::Key { path: self.0.to_owned(), key: key.into(), what: what.into() }
+    fn key_error(&self, key: impl Into<String>, reason: impl Into<String>) -> ConfigError {
+        ConfigError::Key { path: self.0.to_owned(), key: key.into(), reason: reason.into() }
     }
 
-    fn read<'de, T: Deserialize<'de>>(&self, under: &str, value: &'de Value) -> Result<T, ConfigError> {
+    /// Decodes a value of the file; `prefix` stands before the keys in errors.
+    fn decode<'de, T: Deserialize<'de>>(&self, prefix: &str, value: &'de Value) -> Result<T, ConfigError> {
         serde_path_to_error::deserialize(value)
-            .map_err(|e| self.fault(format!("{under}{}", e.path()), e.inner().to_string()))
+            .map_err(|e| self.key_error(format!("{prefix}{}", e.path()), e.inner().to_string()))
     }
 }
 
-fn variable(key: &'static str, what: impl Into<String>) -> ConfigError {
-    ConfigError::Environment { key, what: what.into() }
+fn environment_error(key: &'static str, reason: impl Into<String>) -> ConfigError {
+    ConfigError::Environment { key, reason: reason.into() }
 }
 
 impl Config {
-    /// Reads the configuration from the environment and the files that it names: `NODE_CONFIG` is the
-    /// platform's, `MALLOWRING_SERVICE` the operators' own, for all that is off on the platform.
+    /// Reads the configuration from the environment and the files that it names: `NODE_CONFIG` names the node
+    /// configuration of the platform; `MALLOWRING_SERVICE` names the operators' service file, which configures what is
+    /// off on the platform.
     pub fn read(env: &BTreeMap<String, String>) -> Result<Config, ConfigError> {
         let (node_path, service_path) = (env.get("NODE_CONFIG"), env.get("MALLOWRING_SERVICE"));
-        let service_source = service_path.map(|path| File(Path::new(path)));
-        let service = service_source.as_ref().map(read_service).transpose()?.unwrap_or_default();
-        let node_source = node_path.map(|path| File(Path::new(path)));
-        let file = node_source.as_ref().map(read_node).transpose()?;
-        let node: Option<NodeW> = match (&file, &node_source) {
-            (Some(file), Some(source)) => Some(source.read("", file)?),
+        let service_file = service_path.map(|path| ConfigFile(Path::new(path)));
+        let service = service_file.as_ref().map(read_service).transpose()?.unwrap_or_default();
+        let node_file = node_path.map(|path| ConfigFile(Path::new(path)));
+        let node_value = node_file.as_ref().map(read_node).transpose()?;
+        let node: Option<NodeFile> = match (&node_value, &node_file) {
+            (Some(value), Some(source)) => Some(source.decode("", value)?),
             _ => None,
         };
-        // The settings are the platform's where there is one, else the service file's.
-        let (source, under, settings) = match (&node, &node_source, &service.settings, &service_source) {
+        // The settings come from the node configuration if there is one, else from the service file.
+        let (source, prefix, settings_value) = match (&node, &node_file, &service.settings, &service_file) {
             (Some(node), Some(source), ..) => (source, "settings.", &node.settings),
             (None, _, Some(settings), Some(source)) => (source, "settings.", settings),
-            (None, _, None, Some(source)) => return Err(source.fault("settings", "missing")),
-            _ => return Err(variable("NODE_CONFIG", "not set, and neither is MALLOWRING_SERVICE")),
+            (None, _, None, Some(source)) => return Err(source.key_error("settings", "missing")),
+            _ => return Err(environment_error("NODE_CONFIG", "not set, and neither is MALLOWRING_SERVICE")),
         };
-        let facts = settings;
+        let facts = settings_value;
         let settings = wire::read_settings(facts)
-            .map_err(|e| source.fault(format!("{under}{}", e.path()), e.inner().to_string()))?;
+            .map_err(|e| source.key_error(format!("{prefix}{}", e.path()), e.inner().to_string()))?;
         if settings.classes.is_empty() {
-            return Err(source.fault("settings.classes", "no class of call"));
+            return Err(source.key_error("settings.classes", "at least one class of call is required"));
         }
         let mut tenants: Vec<Tenant> = match facts.get("tenants") {
             None | Some(Value::Null) => Vec::new(),
             Some(list) => {
-                let named: Vec<TenantW> = source.read("settings.tenants", list)?;
-                let plain = |t: TenantW| Tenant { name: t.name, suspended: false, max_calls: None };
-                named.into_iter().map(plain).collect()
+                let entries: Vec<TenantEntry> = source.decode("settings.tenants", list)?;
+                let tenant = |t: TenantEntry| Tenant { name: t.name, suspended: false, max_calls: None };
+                entries.into_iter().map(tenant).collect()
             }
         };
         let connect_timeout = match facts.pointer("/limits/connect_timeout") {
-            None | Some(Value::Null) => CONNECT_TIMEOUT,
+            None | Some(Value::Null) => DEFAULT_CONNECT_TIMEOUT,
             Some(value) => value.as_f64().filter(|t| (0.001..=60.0).contains(t)).ok_or_else(|| {
-                source.fault(
+                source.key_error(
                     "settings.limits.connect_timeout",
-                    format!("{value} is no time from 0.001 to 60 s"),
+                    format!("{value} is not a time from 0.001 to 60 s"),
                 )
             })?,
         };
-        let sip = match (service.sip, &service_source) {
+        let sip = match (service.sip, &service_file) {
             (Some(sip), Some(source)) => Some(read_sip(source, sip, &settings)?),
             _ => None,
         };
-        let admin = match (service.admin, &service_source) {
+        let admin = match (service.admin, &service_file) {
             (Some(admin), Some(source)) => Some(read_admin(source, admin)?),
             _ => None,
         };
-        let kept = admin.as_ref().and_then(|admin| admin.store.as_ref()).filter(|path| path.exists());
-        if let Some(path) = kept {
-            let source = File(path);
-            let value: Value = serde_json::from_str(&source.text()?)
-                .map_err(|e| source.fault(format!("line {}", e.line()), e.to_string()))?;
-            tenants = source.read("", &value)?;
+        let saved_tenants =
+            admin.as_ref().and_then(|admin| admin.tenants_file.as_ref()).filter(|path| path.exists());
+        if let Some(path) = saved_tenants {
+            let source = ConfigFile(path);
+            let value: Value = serde_json::from_str(&source.read_text()?)
+                .map_err(|e| source.key_error(format!("line {}", e.line()), e.to_string()))?;
+            tenants = source.decode("", &value)?;
         }
-        let log = match env.get("MALLOWRING_LOG") {
+        let log_level = match env.get("MALLOWRING_LOG") {
             None => tracing::Level::INFO,
             Some(text) => text.parse().map_err(|_| {
-                variable("MALLOWRING_LOG", format!("'{text}' is none of error, warn, info, debug, trace"))
+                environment_error(
+                    "MALLOWRING_LOG",
+                    format!("'{text}' is not one of error, warn, info, debug, trace"),
+                )
             })?,
         };
-        let named = env.get("NODE_NAME").cloned().or(node.as_ref().and_then(|n| n.name.clone()));
-        let name = named
+        let node_name = env.get("NODE_NAME").cloned().or(node.as_ref().and_then(|n| n.name.clone()));
+        let name = node_name
             .or(service.name)
-            .ok_or_else(|| source.fault("name", "missing, and NODE_NAME is not set"))?;
-        let (mut seed, mut sockets, mut memory_mb) = (fastrand::u64(..), SOCKETS, UNLIMITED_MB);
+            .ok_or_else(|| source.key_error("name", "missing, and NODE_NAME is not set"))?;
+        let (mut seed, mut max_descriptors, mut memory_mb) =
+            (fastrand::u64(..), DEFAULT_MAX_DESCRIPTORS, UNLIMITED_MB);
         let mut platform = None;
-        if let (Some(node), Some(source)) = (node, &node_source) {
+        if let (Some(node), Some(source)) = (node, &node_file) {
             seed = match &node.seed {
                 Value::String(hex) => u64::from_str_radix(hex, 16).ok(),
                 Value::Number(n) => n.as_u64(),
                 _ => None,
             }
-            .ok_or_else(|| source.fault("seed", format!("{} is no number in hex digits", node.seed)))?;
-            sockets = node.limits.sockets.unwrap_or(SOCKETS);
-            if sockets < descriptors::LEAST {
-                let what = format!("{sockets} are too few, {} at least", descriptors::LEAST);
-                return Err(source.fault("limits.sockets", what));
+            .ok_or_else(|| source.key_error("seed", format!("{} is not a hexadecimal number", node.seed)))?;
+            max_descriptors = node.limits.sockets.unwrap_or(DEFAULT_MAX_DESCRIPTORS);
+            if max_descriptors < descriptors::LEAST {
+                let reason =
+                    format!("{max_descriptors} is too few; at least {} are required", descriptors::LEAST);
+                return Err(source.key_error("limits.sockets", reason));
             }
             if let Some(mb) = node.limits.memory_mb {
                 if !(1.0..=1e6).contains(&mb) {
-                    return Err(source.fault("limits.memory_mb", format!("{mb} MB are no limit")));
+                    return Err(source.key_error(
+                        "limits.memory_mb",
+                        format!("{mb} MB is not a limit from 1 to 1000000 MB"),
+                    ));
                 }
                 memory_mb = mb as usize;
             }
             let listen = match env.get("NODE_LISTEN") {
-                Some(text) => text
-                    .parse()
-                    .map_err(|_| variable("NODE_LISTEN", format!("'{text}' is no address with a port")))?,
+                Some(text) => text.parse().map_err(|_| {
+                    environment_error("NODE_LISTEN", format!("'{text}' is not an address with a port"))
+                })?,
                 None => node
                     .listen
-                    .ok_or_else(|| source.fault("listen", "missing, and NODE_LISTEN is not set"))?,
+                    .ok_or_else(|| source.key_error("listen", "missing, and NODE_LISTEN is not set"))?,
             };
-            let source = Source { addr: node.bulletin, known: node.known.items, known_no: node.known.no };
-            platform = Some(Platform { listen, source });
+            let roster_source =
+                Source { addr: node.bulletin, known: node.known.items, known_no: node.known.no };
+            platform = Some(Platform { listen, roster_source });
         }
-        let origin = Origin { env: env.clone(), file: file.unwrap_or_default() };
+        let reload_source = ConfigSource { env: env.clone(), node_file: node_value.unwrap_or_default() };
         Ok(Config {
             name,
             seed,
-            sockets,
+            max_descriptors,
             memory_mb,
             platform,
             sip,
@@ -384,37 +399,39 @@
             settings,
             tenants,
             connect_timeout,
-            log,
-            origin,
+            log_level,
+            reload_source,
         })
     }
 }
 
-fn read_node(source: &File) -> Result<Value, ConfigError> {
-    serde_json::from_str(&source.text()?)
-        .map_err(|e| source.fault(format!("line {}", e.line()), e.to_string()))
+fn read_node(source: &ConfigFile) -> Result<Value, ConfigError> {
+    serde_json::from_str(&source.read_text()?)
+        .map_err(|e| source.key_error(format!("line {}", e.line()), e.to_string()))
 }
 
-fn read_service(source: &File) -> Result<ServiceW, ConfigError> {
-    let value: Value = toml::from_str(&source.text()?).map_err(|e| source.fault("TOML", e.to_string()))?;
-    source.read("", &value)
+fn read_service(source: &ConfigFile) -> Result<ServiceFile, ConfigError> {
+    let value: Value =
+        toml::from_str(&source.read_text()?).map_err(|e| source.key_error("TOML", e.to_string()))?;
+    source.decode("", &value)
 }
 
-fn read_admin(source: &File, admin: AdminW) -> Result<Admin, ConfigError> {
+fn read_admin(source: &ConfigFile, admin: AdminSection) -> Result<Admin, ConfigError> {
     let http = match admin.http {
         None => None,
         Some(http) if !http.listen.ip().is_loopback() => {
-            let what = format!("{} is no loopback address, and tokens travel in clear", http.listen);
-            return Err(source.fault("admin.http.listen", what));
+            let reason =
+                format!("{} is not a loopback address, and tokens are sent unencrypted", http.listen);
+            return Err(source.key_error("admin.http.listen", reason));
         }
         Some(http) => {
-            let token = |(ix, token): (usize, TokenW)| {
+            let token = |(ix, token): (usize, TokenEntry)| {
                 let key = format!("admin.http.tokens[{ix}].file");
                 let text = std::fs::read_to_string(&token.file)
-                    .map_err(|e| source.fault(&key, format!("{}: {e}", token.file.display())))?;
+                    .map_err(|e| source.key_error(&key, format!("{}: {e}", token.file.display())))?;
                 let secret = text.trim().to_owned();
                 if secret.len() < 16 {
-                    return Err(source.fault(key, "a token has 16 characters at least"));
+                    return Err(source.key_error(key, "a token must have at least 16 characters"));
                 }
                 Ok(Token { secret, scope: token.tenant.map_or(Scope::Operator, Scope::Tenant) })
             };
@@ -423,67 +440,68 @@
         }
     };
     let netconf = admin.netconf.map(|netconf| read_netconf(source, netconf)).transpose()?;
-    Ok(Admin { store: admin.store, http, netconf })
+    Ok(Admin { tenants_file: admin.store, http, netconf })
 }
 
 fn read_netconf(
-    source: &File,
-    netconf: NetconfW,
+    source: &ConfigFile,
+    netconf: NetconfSection,
 ) -> Result<(SocketAddr, Arc<ServerConfig>, Vec<Client>), ConfigError> {
-    let bad = |key: String, path: &Path, what: &dyn std::fmt::Display| {
-        source.fault(key, format!("{}: {what}", path.display()))
+    let file_error = |key: String, path: &Path, reason: &dyn std::fmt::Display| {
+        source.key_error(key, format!("{}: {reason}", path.display()))
     };
     let key = |name: &str| format!("admin.netconf.{name}");
-    let chain = |key: String, path: &Path| {
+    let certificates = |key: String, path: &Path| {
         let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
         match read {
-            Ok(chain) if chain.is_empty() => Err(bad(key, path, &"no certificate in it")),
-            other => other.map_err(|e| bad(key, path, &e)),
+            Ok(chain) if chain.is_empty() => Err(file_error(key, path, &"the file contains no certificate")),
+            other => other.map_err(|e| file_error(key, path, &e)),
         }
     };
-    let own = chain(key("certificate"), &netconf.certificate)?;
-    let private =
-        PrivateKeyDer::from_pem_file(&netconf.key).map_err(|e| bad(key("key"), &netconf.key, &e))?;
+    let own_chain = certificates(key("certificate"), &netconf.certificate)?;
+    let private_key =
+        PrivateKeyDer::from_pem_file(&netconf.key).map_err(|e| file_error(key("key"), &netconf.key, &e))?;
     let mut roots = RootCertStore::empty();
-    for certificate in chain(key("authority"), &netconf.authority)? {
-        roots.add(certificate).map_err(|e| bad(key("authority"), &netconf.authority, &e))?;
+    for certificate in certificates(key("authority"), &netconf.authority)? {
+        roots.add(certificate).map_err(|e| file_error(key("authority"), &netconf.authority, &e))?;
     }
     let provider = Arc::new(futures_rustls::rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone()).build();
-    let verifier = verifier.map_err(|e| bad(key("authority"), &netconf.authority, &e))?;
+    let verifier = verifier.map_err(|e| file_error(key("authority"), &netconf.authority, &e))?;
     let tls = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .map_err(|e| bad(key("certificate"), &netconf.certificate, &e))?
+        .map_err(|e| file_error(key("certificate"), &netconf.certificate, &e))?
         .with_client_cert_verifier(verifier)
-        .with_single_cert(own, private)
-        .map_err(|e| bad(key("key"), &netconf.key, &e))?;
-    let client = |(ix, client): (usize, ClientW)| {
+        .with_single_cert(own_chain, private_key)
+        .map_err(|e| file_error(key("key"), &netconf.key, &e))?;
+    let client = |(ix, client): (usize, ClientEntry)| {
         let key = key(&format!("clients[{ix}].certificate"));
-        let certificate = chain(key, &client.certificate)?.remove(0);
+        let certificate = certificates(key, &client.certificate)?.remove(0);
         Ok(Client { name: client.name, certificate })
     };
     let clients = netconf.clients.into_iter().enumerate().map(client).collect::<Result<_, _>>()?;
     Ok((netconf.listen, Arc::new(tls), clients))
 }
 
-fn read_sip(source: &File, sip: SipW, settings: &Settings) -> Result<Sip, ConfigError> {
+fn read_sip(source: &ConfigFile, sip: SipSection, settings: &Settings) -> Result<Sip, ConfigError> {
     if !settings.classes.iter().any(|c| c.name == sip.urgent_class) {
-        let what = format!("'{}' is no class of the settings", sip.urgent_class);
-        return Err(source.fault("sip.urgent_class", what));
+        let reason = format!("'{}' is not a class in the settings", sip.urgent_class);
+        return Err(source.key_error("sip.urgent_class", reason));
     }
     if sip.exchanges.is_empty() {
-        return Err(source.fault("sip.exchanges", "none is named"));
+        return Err(source.key_error("sip.exchanges", "at least one exchange is required"));
     }
-    let exchange = |(ix, e): (usize, ExchangeW)| {
+    let exchange = |(ix, e): (usize, ExchangeEntry)| {
         let key = |name: &str| format!("sip.exchanges[{ix}].{name}");
         let transport = Transport::read(&e.transport).ok_or_else(|| {
-            source.fault(key("transport"), format!("'{}' is neither udp nor tcp", e.transport))
+            source.key_error(key("transport"), format!("'{}' is neither udp nor tcp", e.transport))
         })?;
         if e.prefixes.iter().any(String::is_empty) || e.prefixes.is_empty() {
-            return Err(source.fault(key("prefixes"), "no numbers lead there"));
+            return Err(source
+                .key_error(key("prefixes"), "at least one prefix is required, and no prefix may be empty"));
         }
         Ok(Exchange {
-            office: ExchangeId(SIP_OFFICES + ix as u64),
+            office: ExchangeId(FIRST_SIP_EXCHANGE_ID + ix as u64),
             number: ExchangeNumber(e.number),
             prefixes: e.prefixes,
             hop: Hop { transport, addr: e.address },
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,7 +15,7 @@
         }
     };
     let subscriber = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-    subscriber.with_max_level(config.log).init();
+    subscriber.with_max_level(config.log_level).init();
     telemetry::install();
     match net::Node::bind(config).and_then(net::Node::run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -128,11 +128,11 @@
         let Node { config, platform, sip, http, netconf, stop, reload } = self;
         let clock = clock::Clock::system();
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
-        let origin = config.origin.clone();
+        let origin = config.reload_source.clone();
         let mut sources = None;
         let (engine, engine_mail) = unbounded();
         let (alarms, alarm_mail) = unbounded();
-        let descriptors = DescriptorPlan::new(config.sockets, config.admin.is_some());
+        let descriptors = DescriptorPlan::new(config.max_descriptors, config.admin.is_some());
         let memory = MemoryPlan::new(config.memory_mb);
         tracing::info!(?descriptors, ?memory, "budgets");
         let outboxes = Outboxes::new(memory.queues);
@@ -143,7 +143,7 @@
             let (follow, followed) = bounded(1);
             let (stop_accepting, accepting_stopped) = bounded(1);
             sources = Some(follow);
-            tasks.spawn(bulletin::run(at.source, followed, engine.clone())).detach();
+            tasks.spawn(bulletin::run(at.roster_source, followed, engine.clone())).detach();
             let platform = platform::Platform {
                 tasks: tasks.clone(),
                 engine: engine.clone(),
@@ -188,14 +188,14 @@
                 alarms: alarms.clone(),
                 outboxes: outboxes.clone(),
                 connect_timeout: config.connect_timeout,
-                most: config.sockets / 3,
+                most: config.max_descriptors / 3,
             };
             tasks.spawn(sip.run(setup, udp, tcp, mail)).detach();
             sip_front = Some(mailbox);
         }
         tasks.spawn(clock::run(clock, alarm_mail, engine.clone(), sip_front.clone(), front.clone())).detach();
         if let Some(admin) = config.admin {
-            let store = Rc::new(TenantStore::new(engine.clone(), admin.store));
+            let store = Rc::new(TenantStore::new(engine.clone(), admin.tenants_file));
             if let (Some(listener), Some((_, tokens))) = (http, admin.http) {
                 tasks.spawn(admin::http::run(tasks.clone(), listener, store.clone(), tokens)).detach();
             }
@@ -219,7 +219,7 @@
         let reloaded = async move {
             let mut origin = origin;
             while reloads.recv().await.is_ok() {
-                if let Some(source) = origin.again() {
+                if let Some(source) = origin.reload() {
                     if let Some(sources) = &sources {
                         let _ = sources.send(source).await;
                     }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -34,7 +34,7 @@
     let platform = config.platform.expect("the platform front is on");
     assert_eq!(platform.listen.to_string(), "127.0.0.2:1");
     assert_eq!(
-        (config.name.as_str(), config.seed, platform.source.known_no),
+        (config.name.as_str(), config.seed, platform.roster_source.known_no),
         ("n3", 0x8c1f_30d2_7a5b_e964, 3)
     );
     assert_eq!(config.connect_timeout, 0.25);
