--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -223,5 +223,5 @@
         let (name, value) = pair.split_once(':')?;
         Some((name.trim().to_owned(), value.trim().parse().ok()?))
     });
-    wire::report(&pairs.collect::<BTreeMap<String, f64>>())
+    wire::parse_report(&pairs.collect::<BTreeMap<String, f64>>())
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: reads batches, hosts one [`Controller`] for each instance, writes replies.
-//! Translation only; every decision is in [`crate::logic`].
+//! The simulator's protocol, one JSON object per line: reads batches of events, passes them to one [`Controller`] for
+//! each instance and writes its actions. This module only translates; [`crate::logic`] makes every decision.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -11,97 +11,100 @@
 use crate::interface::*;
 use crate::logic::Controller;
 
-/// What can be wrong with a line of the wire.
+/// Why a line of input can't be processed.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// Input or output failed.
+    /// Reading or writing failed.
     #[error("input or output: {0}")]
     Io(#[from] io::Error),
-    /// The line is no message this adapter can read.
+    /// The line is not valid JSON.
     #[error("malformed line: {0}")]
     Json(#[from] serde_json::Error),
-    /// The line is no object with a single key.
-    #[error("malformed line: want an object with one key, the name of the message")]
-    Shape,
-    /// The message has an unknown name.
+    /// The line is not a JSON object with exactly one key.
+    #[error("malformed line: expected an object with one key, the name of the message")]
+    NotSingleKey,
+    /// The name of the message is unknown.
     #[error("unknown event '{0}'")]
     UnknownEvent(String),
-    /// The fields of a message do not fit.
+    /// A field of the message is missing or has the wrong type.
     #[error("event '{name}': {source}")]
     Fields {
-        /// The message.
+        /// The name of the message.
         name: String,
-        /// What did not fit.
+        /// Which field, and why.
         source: serde_json::Error,
     },
-    /// A field holds a value that means nothing.
-    #[error("event '{name}': {what} '{value}' is not known")]
+    /// A field has an unknown value.
+    #[error("event '{name}': {field} '{value}' is not known")]
     Value {
-        /// The message.
+        /// The name of the message.
         name: &'static str,
         /// The field.
-        what: &'static str,
-        /// What it holds.
+        field: &'static str,
+        /// Its value.
         value: String,
     },
-    /// An event names a manifest that was never given.
-    #[error("event 'announce': no manifest was given for slot {0}")]
-    Slot(u64),
-    /// An event names an instance that was not created.
+    /// An event refers to a slot without a manifest.
+    #[error("event 'announce': no manifest has been sent for slot {0}")]
+    UnknownSlot(u64),
+    /// An event refers to an instance that was not created.
     #[error("event '{name}': server {server} was not created")]
-    NoInstance {
-        /// The message.
+    UnknownInstance {
+        /// The name of the message.
         name: String,
-        /// The instance.
+        /// The number of the instance.
         server: u64,
     },
-    /// An event stands outside a batch, or a batch inside another.
-    #[error("'{0}' out of place: events stand between 'batch' and 'commit'")]
-    OutOfPlace(String),
-    /// The input ended within a batch.
-    #[error("the input ended within a batch")]
-    CutShort,
+    /// An event is outside of a batch, or a batch starts inside another.
+    #[error("'{0}' out of order: events must be between 'batch' and 'commit'")]
+    OutOfOrder(String),
+    /// The input ended inside a batch.
+    #[error("the input ended inside a batch")]
+    Truncated,
 }
 
-/// Absent and null both read as the default.
+/// Decodes null as the default value; `serde(default)` does the same for an absent key.
 fn lenient<'de, D: Deserializer<'de>, T: Deserialize<'de> + Default>(d: D) -> Result<T, D::Error> {
     Ok(Option::<T>::deserialize(d)?.unwrap_or_default())
 }
 
+/// Starts a batch of events that happen at one time.
 #[derive(Deserialize)]
-struct BatchW {
+struct BatchMessage {
     at_time: f64,
     frame: u64,
 }
 
+/// Creates an instance.
 #[derive(Deserialize)]
-struct CreateW {
+struct CreateMessage {
     seed: u64,
-    facts: FactsW,
+    facts: InstanceFacts,
 }
 
+/// The settings of an instance.
 #[derive(Deserialize)]
-struct FactsW {
-    classes: Vec<ClassW>,
+struct InstanceFacts {
+    classes: Vec<ClassFacts>,
     #[serde(default, deserialize_with = "lenient")]
     discovery: String,
     #[serde(default, deserialize_with = "lenient")]
-    extra: ExtraW,
+    extra: ExtraFacts,
     #[serde(default, deserialize_with = "lenient")]
-    limits: LimitsW,
+    limits: LimitFacts,
     n_instances: u32,
     #[serde(default, deserialize_with = "lenient")]
-    prices: PricesW,
+    prices: PriceFacts,
     #[serde(default, deserialize_with = "lenient")]
-    rules: RulesW,
+    rules: RuleFacts,
     #[serde(default, deserialize_with = "lenient")]
-    telemetry: TelemetryW,
+    telemetry: TelemetryFacts,
     #[serde(default, deserialize_with = "lenient")]
     tick: f64,
 }
 
 #[derive(Deserialize)]
-struct ClassW {
+struct ClassFacts {
     name: String,
     target: f64,
     give_up: f64,
@@ -119,7 +122,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct ExtraW {
+struct ExtraFacts {
     #[serde(deserialize_with = "lenient")]
     allowed_pools: Vec<Option<Vec<i64>>>,
     #[serde(deserialize_with = "lenient")]
@@ -141,7 +144,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct LimitsW {
+struct LimitFacts {
     cancel: bool,
     max_attempts: u32,
     max_retry_after: f64,
@@ -152,13 +155,13 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct PricesW {
+struct PriceFacts {
     probe: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct RulesW {
+struct RuleFacts {
     answer_slack: f64,
     ask_every: f64,
     cold_from: f64,
@@ -170,18 +173,19 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct TelemetryW {
+struct TelemetryFacts {
     how: String,
 }
 
+/// Stores a list of exchanges in a slot, for later `announce` messages.
 #[derive(Deserialize)]
-struct ManifestW {
+struct ManifestMessage {
     slot: u64,
-    elements: Vec<EntryW>,
+    elements: Vec<ManifestEntry>,
 }
 
 #[derive(Deserialize)]
-struct EntryW {
+struct ManifestEntry {
     office: u64,
     #[serde(default, deserialize_with = "lenient")]
     az: String,
@@ -194,15 +198,17 @@
     ready_at: f64,
 }
 
+/// Delivers a roster, which is the manifest in a slot, or reports that a request for one failed.
 #[derive(Deserialize)]
-struct AnnounceW {
+struct AnnounceMessage {
     #[serde(default, deserialize_with = "lenient")]
     slot: u64,
     kind: String,
 }
 
+/// A set-up arrives.
 #[derive(Deserialize)]
-struct ArrivalW {
+struct ArrivalMessage {
     request_id: String,
     ttl: f64,
     #[serde(default, deserialize_with = "lenient")]
@@ -219,8 +225,9 @@
     item: Option<String>,
 }
 
+/// An attempt or the call after it has ended.
 #[derive(Deserialize)]
-struct AnswerW {
+struct AnswerMessage {
     request_id: String,
     #[serde(default, deserialize_with = "lenient")]
     leg: u32,
@@ -237,8 +244,9 @@
     server_stats: BTreeMap<String, f64>,
 }
 
+/// A call is established.
 #[derive(Deserialize)]
-struct FirstW {
+struct FirstMessage {
     request_id: String,
     #[serde(default, deserialize_with = "lenient")]
     leg: u32,
@@ -247,27 +255,31 @@
     cost_time: f64,
 }
 
+/// The caller has given up, or the final answer is overdue.
 #[derive(Deserialize)]
-struct WithdrawnW {
+struct WithdrawnMessage {
     request_id: String,
 }
 
+/// A timer has expired.
 #[derive(Deserialize)]
-struct RingW {
+struct RingMessage {
     #[serde(default, deserialize_with = "lenient", rename = "ref")]
     token: u64,
 }
 
+/// A message from another proxy.
 #[derive(Deserialize)]
-struct NoteW {
+struct NoteMessage {
     #[serde(default, deserialize_with = "lenient")]
     who: u32,
     #[serde(default, deserialize_with = "lenient")]
     payload: String,
 }
 
+/// The result of a probe, or an unsolicited report of an exchange's load.
 #[derive(Deserialize)]
-struct StatusW {
+struct StatusMessage {
     office: u64,
     #[serde(default, deserialize_with = "lenient")]
     verdict: i64,
@@ -277,22 +289,24 @@
     server_stats: BTreeMap<String, f64>,
 }
 
+/// The number of the instance that a message is for.
 #[derive(Deserialize)]
-struct ServerW {
+struct ServerField {
     server: u64,
 }
 
-fn fields<'a, T: Deserialize<'a>>(name: &str, body: &'a Value) -> Result<T, WireError> {
+/// Decodes the fields of a message.
+fn decode<'a, T: Deserialize<'a>>(name: &str, body: &'a Value) -> Result<T, WireError> {
     T::deserialize(body).map_err(|source| WireError::Fields { name: name.to_owned(), source })
 }
 
-/// Reads the settings of an instance, as they stand under `facts`, naming the key at fault.
+/// Decodes the settings of an instance from the value of the key `facts`. An error names the invalid key.
 pub fn read_settings(facts: &Value) -> Result<Settings, serde_path_to_error::Error<serde_json::Error>> {
-    serde_path_to_error::deserialize::<_, FactsW>(facts).map(settings)
+    serde_path_to_error::deserialize::<_, InstanceFacts>(facts).map(to_settings)
 }
 
-/// A load report by the names of the wire.
-pub(crate) fn report(stats: &BTreeMap<String, f64>) -> LoadReport {
+/// Decodes a load report. Missing, negative and non-finite values are left out.
+pub(crate) fn parse_report(stats: &BTreeMap<String, f64>) -> LoadReport {
     let get = |key: &str| stats.get(key).copied().filter(|v| v.is_finite() && *v >= 0.0);
     LoadReport {
         free_circuits: get("idle"),
@@ -306,7 +320,8 @@
     }
 }
 
-fn outcome(verdict: i64) -> Result<Outcome, WireError> {
+/// Decodes the outcome of an attempt.
+fn parse_outcome(verdict: i64) -> Result<Outcome, WireError> {
     Ok(match verdict {
         0 => Outcome::Completed,
         5 => Outcome::Error,
@@ -316,16 +331,18 @@
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
         114 => Outcome::NotSent,
-        other => return Err(WireError::Value { name: "answer", what: "verdict", value: other.to_string() }),
+        other => return Err(WireError::Value { name: "answer", field: "verdict", value: other.to_string() }),
     })
 }
 
-/// Notes 1 to 4 with 16 x the wait in milliseconds on note 3; 18 is note 2 with its own mark.
-fn why(note: u64, says_wait: bool) -> (Cause, Option<Secs>) {
+/// Decodes the cause of a failed attempt and the wait that the exchange named, if any. The low 4 bits of the note are
+/// the cause; with cause 3, the bits above are the wait in milliseconds. The note 18 is
+/// cause 2 with an extra bit: the tandem turned the call back because the processor beyond it was full.
+fn parse_cause(note: u64, retry_after_provided: bool) -> (Cause, Option<Secs>) {
     if note == 18 {
         return (Cause::FarProcessorFull, None);
     }
-    let wait = (says_wait && note >= 16).then(|| (note / 16) as f64 / 1000.0);
+    let wait = (retry_after_provided && note >= 16).then(|| (note / 16) as f64 / 1000.0);
     match note % 16 {
         1 => (Cause::NoCircuit, None),
         2 => (Cause::Crankback, None),
@@ -335,9 +352,10 @@
     }
 }
 
-fn settings(facts: FactsW) -> Settings {
+/// Translates the facts of an instance into settings.
+fn to_settings(facts: InstanceFacts) -> Settings {
     let extra = &facts.extra;
-    let class = |(ix, c): (usize, &ClassW)| Class {
+    let class = |(ix, c): (usize, &ClassFacts)| Class {
         name: c.name.clone(),
         target: c.target,
         give_up_after: c.give_up,
@@ -399,12 +417,13 @@
     }
 }
 
-fn office(entry: EntryW) -> Result<RosterEntry, WireError> {
+/// Translates an entry of a manifest into an entry of the roster.
+fn to_roster_entry(entry: ManifestEntry) -> Result<RosterEntry, WireError> {
     let condition = match entry.condition.as_str() {
         "on" => ServiceState::InService,
         "fading" => ServiceState::Draining,
         "off" => ServiceState::Removed,
-        _ => return Err(WireError::Value { name: "manifest", what: "condition", value: entry.condition }),
+        _ => return Err(WireError::Value { name: "manifest", field: "condition", value: entry.condition }),
     };
     Ok(RosterEntry {
         id: ExchangeId(entry.office),
@@ -416,10 +435,11 @@
     })
 }
 
-fn action_line(server: u64, action: &Action) -> Value {
+/// Encodes an action as a message to the simulator.
+fn encode_action(server: u64, action: &Action) -> Value {
     match action {
-        Action::Attempt { id, exchange: office, abandon_at } => json!({"attempt":
-            {"server": server, "request_id": id.0, "office": office.0, "abandon_at": abandon_at.0}}),
+        Action::Attempt { id, exchange: exchange_id, abandon_at } => json!({"attempt":
+            {"server": server, "request_id": id.0, "office": exchange_id.0, "abandon_at": abandon_at.0}}),
         Action::Refuse { id, cool_down, .. } => json!({"say_no":
             {"server": server, "request_id": id.0, "cool_down": cool_down}}),
         Action::Fail(id) => json!({"fail": {"server": server, "request_id": id.0}}),
@@ -427,7 +447,7 @@
             {"server": server, "request_id": id.0, "leg": leg}}),
         Action::Timer { after, token } => json!({"wake_at":
             {"server": server, "sleep_for": after, "ref": token.0}}),
-        Action::Probe(office) => json!({"sample": {"server": server, "office": office.0}}),
+        Action::Probe(exchange_id) => json!({"sample": {"server": server, "office": exchange_id.0}}),
         Action::PeerMessage { to, text } => {
             let peer = to.map_or(json!("*"), |n| json!(n));
             json!({"memo_to": {"server": server, "peer": peer, "payload": text}})
@@ -438,36 +458,38 @@
     }
 }
 
-/// One instance and the class names that its events use.
+/// One instance of the decision module, and the class names that its events use.
 struct Instance {
     controller: Controller,
     classes: Vec<String>,
-    says_wait: bool,
+    retry_after_provided: bool,
 }
 
-/// The instances of one process and the manifests they refer to.
+/// The instances of one process and the manifests that their events refer to.
 #[derive(Default)]
-pub struct Host {
+pub struct InstanceHost {
     instances: BTreeMap<u64, Instance>,
     manifests: BTreeMap<u64, Vec<RosterEntry>>,
     batch: Option<(Time, u64)>,
     actions: Vec<Action>,
 }
 
-impl Host {
-    /// A host with no instance yet.
+impl InstanceHost {
+    /// Creates a host without instances.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes one line of input and writes what it calls for. A `commit` flushes the reply.
-    pub fn line(&mut self, line: &str, out: &mut impl Write) -> Result<(), WireError> {
+    /// Processes one line of input and writes the resulting actions. A `commit` flushes the output.
+    pub fn handle_line(&mut self, line: &str, out: &mut impl Write) -> Result<(), WireError> {
         let message: Value = serde_json::from_str(line)?;
-        let mut keys = message.as_object().ok_or(WireError::Shape)?.iter();
-        let (Some((name, body)), None) = (keys.next(), keys.next()) else { return Err(WireError::Shape) };
+        let mut keys = message.as_object().ok_or(WireError::NotSingleKey)?.iter();
+        let (Some((name, body)), None) = (keys.next(), keys.next()) else {
+            return Err(WireError::NotSingleKey);
+        };
         match (name.as_str(), self.batch) {
             ("batch", None) => {
-                let batch: BatchW = fields(name, body)?;
+                let batch: BatchMessage = decode(name, body)?;
                 self.batch = Some((Time(batch.at_time), batch.frame));
             }
             ("commit", Some((_, frame))) => {
@@ -475,60 +497,62 @@
                 writeln!(out, "{}", json!({"finished": {"frame": frame}}))?;
                 out.flush()?;
             }
-            ("batch" | "commit", _) | (_, None) => return Err(WireError::OutOfPlace(name.clone())),
+            ("batch" | "commit", _) | (_, None) => return Err(WireError::OutOfOrder(name.clone())),
             ("manifest", Some(_)) => {
-                let manifest: ManifestW = fields(name, body)?;
-                let offices = manifest.elements.into_iter().map(office).collect::<Result<_, _>>()?;
-                self.manifests.insert(manifest.slot, offices);
+                let manifest: ManifestMessage = decode(name, body)?;
+                let entries = manifest.elements.into_iter().map(to_roster_entry).collect::<Result<_, _>>()?;
+                self.manifests.insert(manifest.slot, entries);
             }
-            (_, Some((now, _))) => self.instance_event(name, body, now, out)?,
+            (_, Some((now, _))) => self.handle_instance_message(name, body, now, out)?,
         }
         Ok(())
     }
 
-    /// The input is at its end: an error where that cuts a batch.
-    pub fn end(&self) -> Result<(), WireError> {
-        self.batch.map_or(Ok(()), |_| Err(WireError::CutShort))
+    /// Checks at the end of the input that no batch is unfinished.
+    pub fn check_finished(&self) -> Result<(), WireError> {
+        self.batch.map_or(Ok(()), |_| Err(WireError::Truncated))
     }
 
-    fn instance_event(
+    /// Processes a message to one instance.
+    fn handle_instance_message(
         &mut self,
         name: &str,
         body: &Value,
         now: Time,
         out: &mut impl Write,
     ) -> Result<(), WireError> {
-        let ServerW { server } = fields(name, body)?;
+        let ServerField { server } = decode(name, body)?;
         self.actions.clear();
         match name {
             "create" => {
-                let create: CreateW = fields(name, body)?;
+                let create: CreateMessage = decode(name, body)?;
                 let classes = create.facts.classes.iter().map(|c| c.name.clone()).collect();
-                let settings = settings(create.facts);
-                let says_wait = settings.retry_after_provided;
+                let settings = to_settings(create.facts);
+                let retry_after_provided = settings.retry_after_provided;
                 let mut controller = Controller::new(settings, create.seed);
                 controller.start(now, &mut self.actions);
-                self.instances.insert(server, Instance { controller, classes, says_wait });
+                self.instances.insert(server, Instance { controller, classes, retry_after_provided });
             }
             "teardown" => {
                 self.instances.remove(&server);
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(&server) else {
-                    return Err(WireError::NoInstance { name: name.to_owned(), server });
+                    return Err(WireError::UnknownInstance { name: name.to_owned(), server });
                 };
-                let event = event(name, body, instance, &self.manifests)?;
+                let event = parse_event(name, body, instance, &self.manifests)?;
                 instance.controller.handle(now, event, &mut self.actions);
             }
         }
         for action in &self.actions {
-            writeln!(out, "{}", action_line(server, action))?;
+            writeln!(out, "{}", encode_action(server, action))?;
         }
         Ok(())
     }
 }
 
-fn event(
+/// Decodes an event for an instance.
+fn parse_event(
     name: &str,
     body: &Value,
     instance: &Instance,
@@ -536,7 +560,7 @@
 ) -> Result<Event, WireError> {
     Ok(match name {
         "announce" => {
-            let announce: AnnounceW = fields(name, body)?;
+            let announce: AnnounceMessage = decode(name, body)?;
             let kind = match announce.kind.as_str() {
                 "INCREMENTAL" => RosterKind::Incremental,
                 "FULL" => RosterKind::Full,
@@ -544,15 +568,15 @@
                 "FAILED" => {
                     return Ok(Event::Roster { kind: RosterKind::RequestFailed, entries: Vec::new() })
                 }
-                _ => return Err(WireError::Value { name: "announce", what: "kind", value: announce.kind }),
+                _ => return Err(WireError::Value { name: "announce", field: "kind", value: announce.kind }),
             };
-            let offices = manifests.get(&announce.slot).ok_or(WireError::Slot(announce.slot))?.clone();
-            Event::Roster { kind, entries: offices }
+            let roster = manifests.get(&announce.slot).ok_or(WireError::UnknownSlot(announce.slot))?.clone();
+            Event::Roster { kind, entries: roster }
         }
         "arrival" => {
-            let a: ArrivalW = fields(name, body)?;
+            let a: ArrivalMessage = decode(name, body)?;
             let Some(class) = instance.classes.iter().position(|c| *c == a.priority) else {
-                return Err(WireError::Value { name: "arrival", what: "priority", value: a.priority });
+                return Err(WireError::Value { name: "arrival", field: "priority", value: a.priority });
             };
             Event::Arrival(Arrival {
                 id: CallId(a.request_id),
@@ -568,22 +592,22 @@
             })
         }
         "answer" => {
-            let a: AnswerW = fields(name, body)?;
-            let (why, named_wait) = why(a.why, instance.says_wait);
+            let a: AnswerMessage = decode(name, body)?;
+            let (failure_cause, named_wait) = parse_cause(a.why, instance.retry_after_provided);
             Event::AttemptEnded(AttemptResult {
                 id: CallId(a.request_id),
                 leg: a.leg,
                 exchange: ExchangeId(a.office),
-                outcome: outcome(a.verdict)?,
+                outcome: parse_outcome(a.verdict)?,
                 elapsed: a.cost_time,
-                cause: why,
+                cause: failure_cause,
                 retry_after: named_wait,
                 concluded: a.closed,
-                report: report(&a.server_stats),
+                report: parse_report(&a.server_stats),
             })
         }
         "first" => {
-            let f: FirstW = fields(name, body)?;
+            let f: FirstMessage = decode(name, body)?;
             Event::Established {
                 id: CallId(f.request_id),
                 leg: f.leg,
@@ -591,33 +615,33 @@
                 elapsed: f.cost_time,
             }
         }
-        "withdrawn" => Event::Withdrawn(CallId(fields::<WithdrawnW>(name, body)?.request_id)),
-        "ring" => Event::Timer(TimerToken(fields::<RingW>(name, body)?.token)),
+        "withdrawn" => Event::Withdrawn(CallId(decode::<WithdrawnMessage>(name, body)?.request_id)),
+        "ring" => Event::Timer(TimerToken(decode::<RingMessage>(name, body)?.token)),
         "note_from" => {
-            let note: NoteW = fields(name, body)?;
+            let note: NoteMessage = decode(name, body)?;
             Event::PeerMessage { from: note.who, text: note.payload }
         }
         "status_back" => {
-            let s: StatusW = fields(name, body)?;
+            let s: StatusMessage = decode(name, body)?;
             Event::Status {
                 exchange: ExchangeId(s.office),
                 ok: s.verdict == 0,
                 elapsed: s.cost_time,
-                report: report(&s.server_stats),
+                report: parse_report(&s.server_stats),
             }
         }
         _ => return Err(WireError::UnknownEvent(name.to_owned())),
     })
 }
 
-/// Serves the wire until the input ends.
+/// Serves the protocol until the input ends.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
-    let mut host = Host::new();
+    let mut host = InstanceHost::new();
     for line in input.lines() {
         let line = line?;
         if !line.trim().is_empty() {
-            host.line(&line, &mut output)?;
+            host.handle_line(&line, &mut output)?;
         }
     }
-    host.end()
+    host.check_finished()
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 use mallowring::net::bulletin::List;
 use mallowring::sip::header::{self, Uri, Via};
 use mallowring::sip::message::{Framer, Message};
-use mallowring::wire::Host;
+use mallowring::wire::InstanceHost;
 use quickcheck::{Arbitrary, Gen};
 
 const MESSAGE: &str =
@@ -122,9 +122,10 @@
 {"commit":{}}
 "#;
     try_out(valid, |pieces| {
-        let (mut host, mut out) = (Host::new(), Vec::new());
-        let said =
-            lines(pieces, |line| format!("{:?}", host.line(line, &mut out).map_err(|e| e.to_string())));
+        let (mut host, mut out) = (InstanceHost::new(), Vec::new());
+        let said = lines(pieces, |line| {
+            format!("{:?}", host.handle_line(line, &mut out).map_err(|e| e.to_string()))
+        });
         said + &String::from_utf8_lossy(&out)
     });
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on whole batches, good and bad.
+//! The simulator's protocol: whole batches of valid and invalid messages.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -17,8 +17,8 @@
 }
 
 fn batch(frame: u64, at: f64, events: &[&str]) -> String {
-    let head = format!(r#"{{"batch":{{"at_time":{at},"frame":{frame}}}}}"#);
-    format!("{head}\n{}\n{{\"commit\":{{}}}}\n", events.join("\n"))
+    let batch = format!(r#"{{"batch":{{"at_time":{at},"frame":{frame}}}}}"#);
+    format!("{batch}\n{}\n{{\"commit\":{{}}}}\n", events.join("\n"))
 }
 
 fn run(input: &str) -> Result<Vec<Value>, WireError> {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_call_goes_out_and_its_end_is_taken() {
+fn a_call_is_attempted_and_its_answer_accepted() {
     let first = arrival("r-1", 2);
     let input = batch(1, 1000.0, &[CREATE, MANIFEST, ANNOUNCE, &first])
         + &batch(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn slots_are_reused_in_the_order_of_events() {
+fn a_reused_slot_takes_effect_in_the_order_of_events() {
     let other =
         r#"{"manifest":{"slot":0,"elements":[{"office":77,"number":2,"condition":"on","weight":1}]}}"#;
     let full = r#"{"announce":{"server":3,"gen":2,"slot":0,"kind":"FULL"}}"#;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_kill_and_a_fresh_start_in_one_batch_forget_the_calls() {
+fn a_teardown_and_a_new_create_in_one_batch_discard_the_calls() {
     let (one, two) = (arrival("r-1", 2), arrival("r-2", 2));
     let teardown = r#"{"teardown":{"server":3}}"#;
     let stale =
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn instances_in_one_process_act_as_if_apart() {
+fn instances_in_one_process_do_not_affect_each_other() {
     let for_server = |n: u64, text: &str| text.replace("\"server\":3", &format!("\"server\":{n}"));
     let call = arrival("r-1", 2);
     let events = [CREATE, MANIFEST, ANNOUNCE, &call];
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_the_message_and_the_invalid_part() {
     let missing = r#"{"arrival":{"server":3,"request_id":"r-1"}}"#;
     let class = arrival("r-1", 2).replace("\"a\"", "\"b\"");
     let cases = [
@@ -109,25 +109,30 @@
         (r#"{"ring":{"server":8,"ref":1}}"#, "server 8 was not created"),
         (r#"{"answer":{"server":3,"request_id":"r","office":1,"verdict":42}}"#, "verdict '42' is not known"),
     ];
-    for (line, says) in cases {
+    for (line, expected) in cases {
         let error = run(&batch(1, 1000.0, &[CREATE, MANIFEST, ANNOUNCE, line])).expect_err(line).to_string();
-        assert!(error.contains(says), "{line}: {error}");
+        assert!(error.contains(expected), "{line}: {error}");
     }
-    assert!(matches!(run(r#"{"ring":{"server":3,"ref":1}}"#), Err(WireError::OutOfPlace(_))));
-    assert!(matches!(run(r#"{"batch":{"at_time":1.0,"frame":1}}"#), Err(WireError::CutShort)));
+    assert!(matches!(run(r#"{"ring":{"server":3,"ref":1}}"#), Err(WireError::OutOfOrder(_))));
+    assert!(matches!(run(r#"{"batch":{"at_time":1.0,"frame":1}}"#), Err(WireError::Truncated)));
 }
 
 #[test]
-fn the_program_reports_a_bad_line_and_exits_with_an_error() {
+fn the_program_reports_an_invalid_line_and_exits_with_an_error() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_mallowring-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    child.stdin.take().expect("a pipe").write_all(b"{\"batch\":7}\n").expect("it reads");
-    let output = child.wait_with_output().expect("it ends");
-    let said = String::from_utf8_lossy(&output.stderr);
+    child
+        .stdin
+        .take()
+        .expect("standard input is a pipe")
+        .write_all(b"{\"batch\":7}\n")
+        .expect("the program reads its input");
+    let output = child.wait_with_output().expect("the program ends");
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said.contains("event 'batch'") && !said.contains("panicked"), "{said}");
+    assert!(stderr.contains("event 'batch'") && !stderr.contains("panicked"), "{stderr}");
 }
