--- a/src/capture/mod.rs
+++ b/src/capture/mod.rs
@@ -1,7 +1,7 @@
-//! Captures: records of a proxy's inputs and of the commands that answered them, for replay. Nothing here does I/O;
+//! Captures: records of the events of a proxy's call table and of their effects, for replay. Nothing here does I/O;
 //! the caller reads and writes the bytes.
 //!
-//! Entries carry sequence numbers, so that inputs with the same time replay in their original order.
+//! Entries carry sequence numbers, so that events with the same time replay in their original order.
 
 pub mod frame;
 pub mod replay;
@@ -28,11 +28,11 @@
 pub enum EntryKind {
     /// A call table was created from these values and no other state.
     Start(Box<TableStart>),
-    /// The call table received an input.
+    /// The call table handled an event.
     Event(CallEvent),
     /// An administration interface changed the tenants.
     TenantChanges(Vec<Change>),
-    /// The commands with which the call table answered the preceding input. Omitted if there were none.
+    /// The effects of the preceding event. Omitted if there were none.
     Effects(Vec<CallEffect>),
     /// This many entries are missing here because the writer of the capture could not keep up.
     Gap(u64),
--- a/src/capture/replay.rs
+++ b/src/capture/replay.rs
@@ -1,40 +1,40 @@
-//! Decides again what a capture holds.
+//! Replays a capture: passes its events to a new call table and compares the effects with the recorded ones.
 
 use super::{Entry, EntryKind};
 use crate::calls::tenants::Tenants;
 use crate::calls::{CallEffect, Table};
 
-/// The first place at which the decisions differ.
+/// The first event whose effects differ from the recorded ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The entry that was answered differently.
+    /// The event.
     pub entry: Entry,
-    /// What was commanded then.
+    /// The effects in the capture.
     pub recorded: Vec<CallEffect>,
-    /// What is commanded now.
+    /// The effects of the replay.
     pub replayed: Vec<CallEffect>,
 }
 
-/// What came of a replay.
+/// The result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayReport {
-    /// Inputs that were decided again.
+    /// The number of events replayed.
     pub events: u64,
-    /// Commands that came out the same.
+    /// The number of effects that were the same.
     pub effects: u64,
-    /// Entries before the first start: nothing can be said of them.
+    /// The number of entries that were not replayed because no start precedes them, or none since the last gap.
     pub skipped_entries: u64,
-    /// Entries that were dropped when the capture was made. What follows is only decided again from the next start on.
+    /// The number of entries missing from the capture. After a gap, the replay resumes at the next start.
     pub dropped_entries: u64,
-    /// Where the decisions differ first, if they do.
+    /// The first difference. The replay ends there.
     pub difference: Option<Box<Difference>>,
 }
 
-/// Hands a capture's inputs to a fresh call table and holds its commands against those that were given then.
+/// Replays a capture up to the first difference.
 pub fn replay(entries: &[Entry]) -> ReplayReport {
-    let mut done = ReplayReport::default();
+    let mut report = ReplayReport::default();
     let mut table: Option<Table> = None;
-    let mut out = Vec::new();
+    let mut output = Vec::new();
     for (ix, entry) in entries.iter().enumerate() {
         match (&entry.kind, table.as_mut()) {
             (EntryKind::Start(start), _) => {
@@ -42,34 +42,35 @@
                 let (settings, tuning) = (start.settings.clone(), start.tuning.clone());
                 table = Some(Table::tuned(settings, tuning, tenants, start.seed, entry.at));
             }
-            // Whatever was dropped may have changed the table.
+            // The missing entries may have changed the state of the table.
             (EntryKind::Gap(dropped), _) => {
-                done.dropped_entries += dropped;
+                report.dropped_entries += dropped;
                 table = None;
             }
             (EntryKind::Effects(_), Some(_)) => {}
-            (_, None) => done.skipped_entries += 1,
+            (_, None) => report.skipped_entries += 1,
             (EntryKind::TenantChanges(changes), Some(table)) => {
-                // A change that was refused then is refused again: it left no trace in either.
+                // A change that failed in the original run fails again, and has no effect in either.
                 let _ = table.tenants_mut().change(changes);
             }
             (EntryKind::Event(event), Some(table)) => {
-                out.clear();
-                table.handle(entry.at, event.clone(), &mut out);
-                done.events += 1;
-                // Where nothing was commanded nothing was written.
+                output.clear();
+                table.handle(entry.at, event.clone(), &mut output);
+                report.events += 1;
+                // No entry of effects follows an event without effects.
                 let recorded: &[CallEffect] = match entries.get(ix + 1).map(|e| &e.kind) {
                     Some(EntryKind::Effects(effects)) => effects,
                     _ => &[],
                 };
-                if recorded != out {
-                    let (recorded, replayed) = (recorded.to_vec(), std::mem::take(&mut out));
-                    done.difference = Some(Box::new(Difference { entry: entry.clone(), recorded, replayed }));
-                    return done;
+                if recorded != output {
+                    let (recorded, replayed) = (recorded.to_vec(), std::mem::take(&mut output));
+                    report.difference =
+                        Some(Box::new(Difference { entry: entry.clone(), recorded, replayed }));
+                    return report;
                 }
-                done.effects += out.len() as u64;
+                report.effects += output.len() as u64;
             }
         }
     }
-    done
+    report
 }
--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -1,4 +1,4 @@
-//! Replays captures of past failures. A capture whose decisions differ fails the test, which prints the input with the
+//! Replays captures of past failures. A capture whose decisions differ fails the test, which prints the event with the
 //! first difference. A change that is meant to alter decisions renews the captures with `scripts/renew-captures`.
 
 use std::path::Path;
