--- a/src/wire.rs
+++ b/src/wire.rs
@@ -335,9 +335,9 @@
     })
 }
 
-/// Decodes the cause of a failed attempt and the wait that the exchange named, if any. The low 4 bits of the note are
-/// the cause; with cause 3, the bits above are the wait in milliseconds. The note 18 is
-/// cause 2 with an extra bit: the tandem turned the call back because the processor beyond it was full.
+/// Decodes the cause of a failed attempt, and the wait that the exchange asked for if there is one. The low 4 bits of
+/// the note are the cause; with cause 3, the bits above are the wait in milliseconds. The note 18 is cause 2 with an
+/// extra bit: the tandem turned the call back because the processor beyond it was full.
 fn parse_cause(note: u64, retry_after_provided: bool) -> (Cause, Option<Secs>) {
     if note == 18 {
         return (Cause::FarProcessorFull, None);
