--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -109,7 +109,7 @@
 
     /// Sends a set-up in pieces of at most `piece` bytes, with a pause of `pause` seconds after each.
     pub async fn send_set_up_in_pieces(&self, set_up: &SetUp, piece: usize, pause: f64) -> io::Result<()> {
-        let bytes = set_up.message().bytes();
+        let bytes = set_up.message().to_bytes();
         let pieces = bytes.chunks(piece.min(bytes.len()));
         let last = pieces.len() - 1;
         let mut writer = self.writer.lock().await;
--- a/crates/standin/src/exchange/calls.rs
+++ b/crates/standin/src/exchange/calls.rs
@@ -1,6 +1,6 @@
 //! Call handling of a stand-in exchange, from set-up to release.
 
-use mallowring::sip::message::{Message, Start};
+use mallowring::sip::message::{Message, StartLine};
 
 use super::{Call, Condition, Exchange};
 use crate::messages::{self, call_id_of, CallScript};
@@ -51,9 +51,9 @@
     /// Handles one call according to its script: answers the set-up, holds the call and releases it.
     async fn run_call(&self, port_index: usize, connection: u64, set_up: Message) {
         let (id, generation) = (call_id_of(&set_up), self.0.generation.get());
-        let uri = match &set_up.start {
-            Start::Request { uri, .. } => uri.as_str(),
-            Start::Response { .. } => "",
+        let uri = match &set_up.start_line {
+            StartLine::Request { uri, .. } => uri.as_str(),
+            StartLine::Response { .. } => "",
         };
         let Some(script) = CallScript::parse(uri) else {
             self.remove_call(&id);
--- a/crates/standin/src/exchange/mod.rs
+++ b/crates/standin/src/exchange/mod.rs
@@ -304,7 +304,7 @@
     }
 
     fn write(&self, port_index: usize, connection: u64, message: &Message) {
-        self.write_bytes(port_index, connection, message.bytes());
+        self.write_bytes(port_index, connection, message.to_bytes());
     }
 
     fn write_bytes(&self, port_index: usize, connection: u64, bytes: Vec<u8>) {
--- a/crates/standin/src/messages.rs
+++ b/crates/standin/src/messages.rs
@@ -23,7 +23,7 @@
     pub async fn next(&mut self) -> Option<Message> {
         let mut bytes = vec![0; 16 * 1024];
         loop {
-            match self.framer.pull() {
+            match self.framer.next_message() {
                 Ok(Some(Ok(message))) => return Some(message),
                 Ok(Some(Err(_))) => continue,
                 Ok(None) => {}
@@ -39,7 +39,7 @@
 
 /// Writes one message to the stream.
 pub async fn send(stream: &mut TcpStream, message: &Message) -> io::Result<()> {
-    stream.write_all(&message.bytes()).await
+    stream.write_all(&message.to_bytes()).await
 }
 
 /// Returns the Call-ID of a message, or an empty string if it has none.
--- a/src/config.rs
+++ b/src/config.rs
@@ -493,7 +493,7 @@
     }
     let exchange = |(ix, e): (usize, ExchangeEntry)| {
         let key = |name: &str| format!("sip.exchanges[{ix}].{name}");
-        let transport = Transport::read(&e.transport).ok_or_else(|| {
+        let transport = Transport::parse(&e.transport).ok_or_else(|| {
             source.key_error(key("transport"), format!("'{}' is neither udp nor tcp", e.transport))
         })?;
         if e.prefixes.iter().any(String::is_empty) || e.prefixes.is_empty() {
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -18,7 +18,7 @@
 
 use super::{or_late, post_when_calm, Tasks};
 use crate::limits::memory::{slowest, Queue};
-use crate::sip::message::{Framer, Lost, Malformed, Message};
+use crate::sip::message::{Framer, FramingError, MalformedMessage, Message};
 use crate::telemetry;
 
 /// Bytes that may wait for a slow reader before its connection is given up.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub enum Heard {
     /// A message, or what stood in its place.
-    Message(Result<Message, Malformed>),
+    Message(Result<Message, MalformedMessage>),
     /// It is over; nothing follows.
     Over(Over),
 }
@@ -45,7 +45,7 @@
     /// It broke.
     Broken(io::Error),
     /// The bounds of messages were lost.
-    Framing(Lost),
+    Framing(FramingError),
     /// A message began and its rest did not come.
     CutShort,
 }
@@ -196,7 +196,7 @@
             self.outboxes.cut(&self.outbox, "its reader is too slow");
             return false;
         }
-        let bytes = message.bytes();
+        let bytes = message.to_bytes();
         self.outboxes.count(&self.outbox, bytes.len(), 0);
         self.outbox.waiting.borrow_mut().extend_from_slice(&bytes);
         // One that waits already wakes the writer for this as well.
@@ -257,7 +257,7 @@
             Err(error) => break Over::Broken(error),
         }
         loop {
-            match framer.pull() {
+            match framer.next_message() {
                 Ok(Some(message)) => {
                     since = None;
                     if !post_when_calm(&mailbox, wrap(Heard::Message(message))).await {
@@ -271,7 +271,7 @@
             }
         }
         framer.shrink();
-        since = framer.is_within().then(|| since.unwrap_or_else(Instant::now));
+        since = framer.has_partial_message().then(|| since.unwrap_or_else(Instant::now));
     };
     let _ = mailbox.send(wrap(Heard::Over(over))).await;
 }
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -7,7 +7,7 @@
 use crate::calls::{CallEvent, ExchangeCommand, SetUp};
 use crate::interface::*;
 use crate::sip::message::Message;
-use crate::sip::{cause, verdict};
+use crate::sip::{failure_outcome, q850_cause};
 use crate::wire;
 
 /// Set-ups that may wait while a connection is made. Releases wait without a bound of their own: each is of a call whose
@@ -158,7 +158,7 @@
             Some("BYE") => {
                 self.write(no, &Message::response(200, "OK", &message.headers));
                 self.liveness.over(&id);
-                let whole = cause(&message) == Some(16);
+                let whole = q850_cause(&message) == Some(16);
                 self.tell(CallEvent::ExchangeReleased {
                     id,
                     exchange: self.office,
@@ -208,7 +208,7 @@
             }
             return;
         }
-        let (outcome, why) = verdict(status, message.get("X-Outcome"));
+        let (outcome, why) = failure_outcome(status, message.get("X-Outcome"));
         if leg.is_some() {
             self.ended(id, leg, outcome, why, report).await;
         } else if report != LoadReport::default() {
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -18,7 +18,7 @@
 use crate::interface::*;
 use crate::limits::memory::WaitingReleases;
 use crate::recovery::shutdown::Shutdown;
-use crate::sip::message::{header, Message, Start};
+use crate::sip::message::{header, Message, StartLine};
 use crate::telemetry;
 
 /// A message has to be whole within this, and a connection has to bring a request that is taken.
@@ -187,7 +187,7 @@
                 FrontMail::Heard(no, Heard::Message(Err(fault))) => {
                     tracing::warn!(%fault, "message from a caller");
                     let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                    if known && !fault.response {
+                    if known && !fault.is_response {
                         state.write(no, &Message::response(400, "Bad Request", &fault.headers));
                     } else {
                         state.close(no).await;
@@ -448,9 +448,9 @@
             self.write(no, &refusal.with("X-Cooldown", COOL_DOWN_MS));
             return;
         }
-        let uri = match message.start {
-            Start::Request { uri, .. } => uri,
-            Start::Response { .. } => String::new(),
+        let uri = match message.start_line {
+            StartLine::Request { uri, .. } => uri,
+            StartLine::Response { .. } => String::new(),
         };
         if let Some(line) = self.lines.get_mut(&no) {
             line.open += 1;
@@ -534,9 +534,9 @@
 /// Reads a set-up. What an exchange could not read must not get past here: it would close on it, whatever else is
 /// open there.
 fn request(id: &CallId, message: &Message) -> Result<Request, &'static str> {
-    let uri = match &message.start {
-        Start::Request { uri, .. } => uri.as_str(),
-        Start::Response { .. } => "",
+    let uri = match &message.start_line {
+        StartLine::Request { uri, .. } => uri.as_str(),
+        StartLine::Response { .. } => "",
     };
     if id.0.len() != 16 || !id.0.bytes().all(|b| b.is_ascii_hexdigit()) {
         return Err("its id is not 16 hex digits");
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -18,7 +18,7 @@
 use crate::interface::*;
 use crate::sip::agent::{Agent, Alarm, Output, Setup};
 use crate::sip::header::{Hop, Transport};
-use crate::sip::message::{header, Message, MOST};
+use crate::sip::message::{header, Message, MAX_MESSAGE_BYTES};
 use crate::sip::transaction::Failure;
 use crate::telemetry;
 
@@ -112,7 +112,7 @@
 }
 
 async fn receive(udp: UdpSocket, mailbox: Sender<SipMail>) {
-    let mut bytes = vec![0; MOST + 1];
+    let mut bytes = vec![0; MAX_MESSAGE_BYTES + 1];
     loop {
         match udp.recv_from(&mut bytes).await {
             Ok((n, addr)) => post(&mailbox, SipMail::Datagram(addr, bytes[..n].to_vec())).await,
@@ -177,12 +177,12 @@
         if bytes.iter().all(|b| matches!(b, b'\r' | b'\n' | 0)) {
             return; // Keeps a way through a NAT open.
         }
-        let read = if bytes.len() > MOST { None } else { Some(Message::datagram(bytes)) };
+        let read = if bytes.len() > MAX_MESSAGE_BYTES { None } else { Some(Message::parse_datagram(bytes)) };
         match read {
             Some(Ok(message)) => {
                 self.agent.receive(now, Hop { transport: Transport::Udp, addr }, message, out);
             }
-            Some(Err(fault)) => self.count(addr, fault.what),
+            Some(Err(fault)) => self.count(addr, fault.problem),
             None => self.count(addr, "it is too long"),
         }
     }
@@ -211,7 +211,7 @@
             Heard::Message(Err(fault)) => {
                 tracing::warn!(%addr, %fault, "malformed SIP message");
                 let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                if known && !fault.response {
+                if known && !fault.is_response {
                     self.write(addr, &Message::response(400, "Bad Request", &fault.headers));
                 } else {
                     // Nothing can be answered: the connection says so.
@@ -245,7 +245,7 @@
 
     fn send(&mut self, hop: Hop, alt: Option<Hop>, message: Message) {
         if hop.transport == Transport::Udp {
-            if self.datagrams.try_send((hop.addr, message.bytes())).is_err() {
+            if self.datagrams.try_send((hop.addr, message.to_bytes())).is_err() {
                 // The transaction's timers send it again (RFC 3261, 17.1.1.2).
                 telemetry::datagram_dropped();
                 tracing::warn!(addr = %hop.addr, "datagrams wait too long: one is dropped");
--- a/src/sip/agent.rs
+++ b/src/sip/agent.rs
@@ -6,9 +6,9 @@
 
 use super::dialog::{Dialog, Id};
 use super::header::{self, Hop, Transport, Uri, Via};
-use super::message::{Message, Start};
+use super::message::{Message, StartLine};
 use super::transaction::{self, Failure, Key, Out, Transactions, LONG, T1, T2};
-use super::{cause, verdict};
+use super::{failure_outcome, q850_cause};
 use crate::calls::{CallEvent, CallerCommand, ExchangeCommand, Front, RejectReason, Request, SetUp};
 use crate::interface::*;
 
@@ -318,8 +318,8 @@
 
     /// Reads a caller's request; what is wrong with it maps to a final answer.
     fn read_request(&self, id: &CallId, message: &Message) -> Result<Request, (u16, &'static str)> {
-        let Start::Request { uri, .. } = &message.start else { return Err((400, "Bad Request")) };
-        let called = Uri::read(uri).ok_or((416, "Unsupported URI Scheme"))?;
+        let StartLine::Request { uri, .. } = &message.start_line else { return Err((400, "Bad Request")) };
+        let called = Uri::parse(uri).ok_or((416, "Unsupported URI Scheme"))?;
         if message.get("Contact").is_none() {
             return Err((400, "Missing Contact"));
         }
@@ -340,7 +340,7 @@
         let longest = |e: &Exchange| e.prefixes.iter().filter(leads).map(String::len).max();
         let exchanges = self.setup.exchanges.iter().filter_map(|e| Some((longest(e)?, e.number)));
         let (_, dest) = exchanges.max_by_key(|(n, _)| *n).ok_or((404, "Not Found"))?;
-        let from = message.get("From").map(header::address).and_then(Uri::read).map(|uri| uri.host);
+        let from = message.get("From").map(header::addr_spec).and_then(Uri::parse).map(|uri| uri.host);
         Ok(Request {
             id: id.clone(),
             front: Front::Sip,
@@ -383,7 +383,7 @@
             out.push(Output::Core(CallEvent::CallerReleased(call)));
             (200, "OK")
         } else if let Some((call, leg)) = self.far_dialogs.remove(&id) {
-            let whole = cause(message).is_none_or(|cause| cause == 16);
+            let whole = q850_cause(message).is_none_or(|cause| cause == 16);
             if let Some(office) = self.forget_far(&(call.clone(), leg), out) {
                 let report = LoadReport::default();
                 out.push(Output::Core(CallEvent::ExchangeReleased {
@@ -629,10 +629,10 @@
                 let Some((id, leg)) = attempt else { return };
                 let noted = message.get("X-Outcome");
                 let (outcome, why) = match status {
-                    _ if noted.is_some() => verdict(status, noted),
+                    _ if noted.is_some() => failure_outcome(status, noted),
                     486 | 600 => (Outcome::Error, Cause::LinesBusy),
                     503 => (Outcome::Refused, Cause::ProcessorFull),
-                    _ => verdict(status, None),
+                    _ => failure_outcome(status, None),
                 };
                 if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
                     let (leg, report) = (Some(leg), LoadReport::default());
@@ -650,12 +650,12 @@
     }
 
     fn on_success(&mut self, now: Time, attempt: Option<Attempt>, message: Message, out: &mut Vec<Output>) {
-        let via_hop = message.get("Via").and_then(Via::read).and_then(|via| Transport::read(via.transport));
+        let via_hop = message.get("Via").and_then(Via::parse).and_then(|via| Transport::parse(via.transport));
         let leg = attempt.as_ref().and_then(|attempt| self.far.get(attempt));
         let hop =
             leg.and_then(|leg| self.setup.exchanges.iter().find(|e| e.office == leg.office)).map(|e| e.hop);
         let contact =
-            message.get("Contact").map(header::address).and_then(Uri::read).and_then(|uri| uri.hop());
+            message.get("Contact").map(header::addr_spec).and_then(Uri::parse).and_then(|uri| uri.hop());
         let Some(hop) = hop.or(contact) else { return };
         let Some(dialog) = Dialog::called(&message, hop) else {
             tracing::warn!("a success without Contact can't be acknowledged");
--- a/src/sip/dialog.rs
+++ b/src/sip/dialog.rs
@@ -38,7 +38,7 @@
     for (_, value) in message.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("Record-Route")) {
         let mut rest = value.as_str();
         while !rest.is_empty() {
-            let one = header::first(rest);
+            let one = header::first_value(rest);
             routes.push(one.to_owned());
             rest = rest.trim_start()[one.len()..].trim_start().trim_start_matches(',').trim_start();
         }
@@ -65,7 +65,7 @@
         Some(Dialog {
             local: format!("{};tag={local_tag}", invite.get("To")?),
             remote: invite.get("From")?.to_owned(),
-            target: header::address(invite.get("Contact")?).to_owned(),
+            target: header::addr_spec(invite.get("Contact")?).to_owned(),
             routes: record_routes(invite),
             local_cseq: 0,
             remote_cseq: invite.cseq().map(|(n, _)| n),
@@ -86,7 +86,7 @@
             },
             local: success.get("From")?.to_owned(),
             remote: success.get("To")?.to_owned(),
-            target: header::address(success.get("Contact")?).to_owned(),
+            target: header::addr_spec(success.get("Contact")?).to_owned(),
             routes,
             local_cseq: success.cseq()?.0,
             remote_cseq: None,
@@ -96,8 +96,8 @@
 
     /// Where our requests go, and the way that the dialog began on, for where no connection can be made.
     pub fn way(&self) -> (Hop, Option<Hop>) {
-        let next = self.routes.first().map_or(self.target.as_str(), |route| header::address(route));
-        (Uri::read(next).and_then(|uri| uri.hop()).unwrap_or(self.hop), Some(self.hop))
+        let next = self.routes.first().map_or(self.target.as_str(), |route| header::addr_spec(route));
+        (Uri::parse(next).and_then(|uri| uri.hop()).unwrap_or(self.hop), Some(self.hop))
     }
 
     /// Takes the number of a request of the other end; false where it is out of order.
--- a/src/sip/header.rs
+++ b/src/sip/header.rs
@@ -21,7 +21,7 @@
     }
 
     /// Reads a name.
-    pub fn read(name: &str) -> Option<Transport> {
+    pub fn parse(name: &str) -> Option<Transport> {
         match name.to_ascii_lowercase().as_str() {
             "udp" => Some(Transport::Udp),
             "tcp" => Some(Transport::Tcp),
@@ -40,10 +40,10 @@
 }
 
 /// The port where none is named.
-pub const PORT: u16 = 5060;
+pub const DEFAULT_PORT: u16 = 5060;
 
 /// The first of the values that a header may list, split where no quote or bracket is open.
-pub fn first(value: &str) -> &str {
+pub fn first_value(value: &str) -> &str {
     let (mut quoted, mut depth) = (false, 0_u32);
     for (ix, byte) in value.bytes().enumerate() {
         match byte {
@@ -58,7 +58,7 @@
 }
 
 /// The value of a parameter behind semicolons; empty where it has none.
-pub fn param<'a>(value: &'a str, name: &str) -> Option<&'a str> {
+pub fn parameter<'a>(value: &'a str, name: &str) -> Option<&'a str> {
     value.split(';').skip(1).find_map(|p| {
         let (n, v) = p.split_once('=').unwrap_or((p, ""));
         n.trim().eq_ignore_ascii_case(name).then(|| v.trim())
@@ -69,12 +69,12 @@
 pub fn tag(value: &str) -> Option<&str> {
     let after = value.rsplit_once('>').map_or(value, |(_, after)| after);
     // Without brackets all parameters are the header's own (RFC 3261, 20).
-    param(after, "tag").filter(|tag| !tag.is_empty())
+    parameter(after, "tag").filter(|tag| !tag.is_empty())
 }
 
 /// The address in a From, To or Contact, without its name and the header's parameters.
-pub fn address(value: &str) -> &str {
-    let value = first(value);
+pub fn addr_spec(value: &str) -> &str {
+    let value = first_value(value);
     match value.split_once('<') {
         Some((_, rest)) => rest.split('>').next().unwrap_or("").trim(),
         None => value.split(';').next().unwrap_or("").trim(),
@@ -96,13 +96,13 @@
 
 impl<'a> Uri<'a> {
     /// Reads an address; `None` where it is no `sip:` one.
-    pub fn read(text: &'a str) -> Option<Uri<'a>> {
+    pub fn parse(text: &'a str) -> Option<Uri<'a>> {
         let (scheme, rest) = text.split_once(':')?;
         if !scheme.eq_ignore_ascii_case("sip") {
             return None;
         }
         let bare = rest.split('?').next()?;
-        let transport = param(bare, "transport").and_then(Transport::read);
+        let transport = parameter(bare, "transport").and_then(Transport::parse);
         let bare = bare.split(';').next()?;
         let (user, place) = bare.rsplit_once('@').unwrap_or(("", bare));
         let (host, port) = host_port(place)?;
@@ -112,7 +112,7 @@
     /// Where it leads, if its host is a number address.
     pub fn hop(&self) -> Option<Hop> {
         let ip: IpAddr = self.host.trim_matches(['[', ']']).parse().ok()?;
-        let addr = SocketAddr::new(ip, self.port.unwrap_or(PORT));
+        let addr = SocketAddr::new(ip, self.port.unwrap_or(DEFAULT_PORT));
         Some(Hop { transport: self.transport.unwrap_or(Transport::Udp), addr })
     }
 }
@@ -142,18 +142,18 @@
 
 impl<'a> Via<'a> {
     /// Reads the first value of a Via.
-    pub fn read(value: &'a str) -> Option<Via<'a>> {
-        let value = first(value);
+    pub fn parse(value: &'a str) -> Option<Via<'a>> {
+        let value = first_value(value);
         let rest = value.strip_prefix("SIP/2.0/")?;
         let (transport, rest) = rest.split_once(char::is_whitespace)?;
         let sent_by = rest.split(';').next()?.trim();
         host_port(sent_by)?;
-        let (branch, rport) = (param(value, "branch"), param(value, "rport").is_some());
+        let (branch, rport) = (parameter(value, "branch"), parameter(value, "rport").is_some());
         Some(Via { transport, sent_by, branch, rport })
     }
 
     /// The port that responses are wanted at.
     pub fn port(&self) -> u16 {
-        host_port(self.sent_by).and_then(|(_, port)| port).unwrap_or(PORT)
+        host_port(self.sent_by).and_then(|(_, port)| port).unwrap_or(DEFAULT_PORT)
     }
 }
--- a/src/sip/message.rs
+++ b/src/sip/message.rs
@@ -3,13 +3,13 @@
 use thiserror::Error;
 
 /// The most bytes of one message, head and body.
-pub const MOST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 /// The longest body that is passed over to find the next message; a longer one is not worth its reading.
-const PASSABLE: usize = 4 * MOST;
+const PASSABLE: usize = 4 * MAX_MESSAGE_BYTES;
 
 /// The first line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// A request.
     Request {
         /// Its method.
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The first line.
-    pub start: Start,
+    pub start_line: StartLine,
     /// The headers in their order, without `Content-Length`, which the body tells.
     pub headers: Vec<(String, String)>,
     /// The body.
@@ -39,20 +39,20 @@
 
 /// A message whose bounds are known but that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("malformed message: {what}")]
-pub struct Malformed {
+#[error("malformed message: {problem}")]
+pub struct MalformedMessage {
     /// What is wrong with it.
-    pub what: &'static str,
+    pub problem: &'static str,
     /// What could be read of its headers, to answer by.
     pub headers: Vec<(String, String)>,
     /// It looks like a response, which is never answered.
-    pub response: bool,
+    pub is_response: bool,
 }
 
 /// The bounds of the next message are unknown: the stream is of no more use.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("framing lost: {0}")]
-pub struct Lost(pub &'static str);
+pub struct FramingError(pub &'static str);
 
 /// The full name of a header's compact form.
 fn full_name(name: &str) -> &str {
@@ -80,8 +80,8 @@
 impl Message {
     /// A request without headers.
     pub fn request(method: &str, uri: &str) -> Self {
-        let start = Start::Request { method: method.to_owned(), uri: uri.to_owned() };
-        Message { start, headers: Vec::new(), body: Vec::new() }
+        let start = StartLine::Request { method: method.to_owned(), uri: uri.to_owned() };
+        Message { start_line: start, headers: Vec::new(), body: Vec::new() }
     }
 
     /// A response that carries the headers that RFC 3261, 8.2.6.2 wants copied.
@@ -89,7 +89,11 @@
         let copied = ["Via", "From", "To", "Call-ID", "CSeq"];
         let copy = |(n, _): &&(String, String)| copied.iter().any(|c| n.eq_ignore_ascii_case(c));
         let headers = to.iter().filter(copy).cloned().collect();
-        Message { start: Start::Response { status, reason: reason.to_owned() }, headers, body: Vec::new() }
+        Message {
+            start_line: StartLine::Response { status, reason: reason.to_owned() },
+            headers,
+            body: Vec::new(),
+        }
     }
 
     /// The same with one more header. A line break in the value becomes a space.
@@ -107,17 +111,17 @@
 
     /// The method of a request.
     pub fn method(&self) -> Option<&str> {
-        match &self.start {
-            Start::Request { method, .. } => Some(method),
-            Start::Response { .. } => None,
+        match &self.start_line {
+            StartLine::Request { method, .. } => Some(method),
+            StartLine::Response { .. } => None,
         }
     }
 
     /// The code of a response.
     pub fn status(&self) -> Option<u16> {
-        match self.start {
-            Start::Request { .. } => None,
-            Start::Response { status, .. } => Some(status),
+        match self.start_line {
+            StartLine::Request { .. } => None,
+            StartLine::Response { status, .. } => Some(status),
         }
     }
 
@@ -129,10 +133,10 @@
     }
 
     /// The message as it goes out.
-    pub fn bytes(&self) -> Vec<u8> {
-        let mut head = match &self.start {
-            Start::Request { method, uri } => format!("{method} {uri} SIP/2.0\r\n"),
-            Start::Response { status, reason } => format!("SIP/2.0 {status} {reason}\r\n"),
+    pub fn to_bytes(&self) -> Vec<u8> {
+        let mut head = match &self.start_line {
+            StartLine::Request { method, uri } => format!("{method} {uri} SIP/2.0\r\n"),
+            StartLine::Response { status, reason } => format!("SIP/2.0 {status} {reason}\r\n"),
         };
         for (name, value) in &self.headers {
             head.push_str(name);
@@ -147,8 +151,12 @@
     }
 
     /// Reads a datagram. A missing length means all of the rest (RFC 3261, 18.3).
-    pub fn datagram(bytes: &[u8]) -> Result<Message, Malformed> {
-        let bare = |what| Malformed { what, headers: Vec::new(), response: bytes.starts_with(b"SIP/") };
+    pub fn parse_datagram(bytes: &[u8]) -> Result<Message, MalformedMessage> {
+        let bare = |what| MalformedMessage {
+            problem: what,
+            headers: Vec::new(),
+            is_response: bytes.starts_with(b"SIP/"),
+        };
         let Some((head, body)) = split(bytes) else { return Err(bare("its head has no end")) };
         let (lines, length) = headers(head).map_err(|lost| bare(lost.0))?;
         let body = &bytes[body..];
@@ -162,8 +170,8 @@
 
 type Headers = Vec<(String, String)>;
 
-fn malformed(what: &'static str, head: &[u8], headers: Headers) -> Malformed {
-    Malformed { what, headers, response: head.starts_with(b"SIP/") }
+fn malformed(what: &'static str, head: &[u8], headers: Headers) -> MalformedMessage {
+    MalformedMessage { problem: what, headers, is_response: head.starts_with(b"SIP/") }
 }
 
 /// Where a head ends (without its empty line), and where its body begins.
@@ -177,7 +185,7 @@
 
 /// The headers that can be read, and the length of the body. Only a length that contradicts itself or is no
 /// number loses the bounds of the message.
-fn headers(head: &[u8]) -> Result<(Headers, Option<usize>), Lost> {
+fn headers(head: &[u8]) -> Result<(Headers, Option<usize>), FramingError> {
     let text = String::from_utf8_lossy(head);
     let mut headers: Headers = Vec::new();
     let mut length = None;
@@ -197,9 +205,9 @@
             continue;
         }
         let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-        let n = value.parse().ok().filter(|_| digits).ok_or(Lost("Content-Length is no number"))?;
+        let n = value.parse().ok().filter(|_| digits).ok_or(FramingError("Content-Length is no number"))?;
         if length.is_some_and(|old| old != n) {
-            return Err(Lost("Content-Length is said twice"));
+            return Err(FramingError("Content-Length is said twice"));
         }
         length = Some(n);
     }
@@ -211,7 +219,7 @@
 }
 
 /// Reads the first line and checks the headers that every message needs.
-fn read(head: &[u8], headers: Headers, body: Vec<u8>) -> Result<Message, Malformed> {
+fn read(head: &[u8], headers: Headers, body: Vec<u8>) -> Result<Message, MalformedMessage> {
     let fault = |what| Err(malformed(what, head, headers.clone()));
     let Ok(text) = std::str::from_utf8(head) else { return fault("its head is not UTF-8") };
     let line = text.lines().next().unwrap_or("");
@@ -219,7 +227,7 @@
         let (code, reason) = rest.split_once(' ').unwrap_or((rest, ""));
         match code.parse::<u16>() {
             Ok(status @ 100..=699) if code.len() == 3 => {
-                Start::Response { status, reason: reason.to_owned() }
+                StartLine::Response { status, reason: reason.to_owned() }
             }
             _ => return fault("its code is no code"),
         }
@@ -227,7 +235,7 @@
         let parts: Vec<_> = line.split(' ').collect();
         match parts[..] {
             [method, uri, "SIP/2.0"] if is_token(method) && !uri.is_empty() => {
-                Start::Request { method: method.to_owned(), uri: uri.to_owned() }
+                StartLine::Request { method: method.to_owned(), uri: uri.to_owned() }
             }
             _ => return fault("its first line is no request line"),
         }
@@ -235,7 +243,7 @@
     if headers.iter().any(|(name, _)| !is_token(name)) {
         return fault("a header has no name");
     }
-    let message = Message { start, headers, body };
+    let message = Message { start_line: start, headers, body };
     if message.get("Call-ID").is_none_or(str::is_empty) {
         return Err(malformed("it has no Call-ID", head, message.headers));
     }
@@ -270,12 +278,12 @@
     }
 
     /// Whether a message has begun whose end is not in.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.skip > 0 || !self.held.is_empty()
     }
 
     /// The next whole message, if it is in.
-    pub fn pull(&mut self) -> Result<Option<Result<Message, Malformed>>, Lost> {
+    pub fn next_message(&mut self) -> Result<Option<Result<Message, MalformedMessage>>, FramingError> {
         let passed = self.skip.min(self.held.len());
         self.held.drain(..passed);
         self.skip -= passed;
@@ -283,18 +291,18 @@
         let blank = self.held.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         self.held.drain(..blank);
         let Some((head, body)) = split(&self.held) else {
-            let long = self.held.len() > MOST;
-            return if long { Err(Lost("a head has no end")) } else { Ok(None) };
+            let long = self.held.len() > MAX_MESSAGE_BYTES;
+            return if long { Err(FramingError("a head has no end")) } else { Ok(None) };
         };
-        if body > MOST {
-            return Err(Lost("a head is too long"));
+        if body > MAX_MESSAGE_BYTES {
+            return Err(FramingError("a head is too long"));
         }
         let (lines, length) = headers(head)?;
-        let length = length.ok_or(Lost("a message has no Content-Length"))?;
+        let length = length.ok_or(FramingError("a message has no Content-Length"))?;
         if length > PASSABLE {
-            return Err(Lost("a body is far too long"));
+            return Err(FramingError("a body is far too long"));
         }
-        if length > MOST - body {
+        if length > MAX_MESSAGE_BYTES - body {
             // Its bounds are known: it is passed over, and the stream goes on.
             let fault = malformed("it is too long", head, lines);
             self.skip = length;
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -11,7 +11,7 @@
 use message::Message;
 
 /// What a refusal of an exchange means.
-pub(crate) fn verdict(status: u16, note: Option<&str>) -> (Outcome, Cause) {
+pub(crate) fn failure_outcome(status: u16, note: Option<&str>) -> (Outcome, Cause) {
     let outcome = match status {
         503 => Outcome::Refused,
         480 => Outcome::NotSent,
@@ -32,7 +32,7 @@
 }
 
 /// The cause in `Reason: Q.850;cause=N`.
-pub(crate) fn cause(message: &Message) -> Option<u32> {
+pub(crate) fn q850_cause(message: &Message) -> Option<u32> {
     let parts = message.get("Reason")?.split(';');
     let mut causes = parts.filter_map(|p| p.trim().strip_prefix("cause=")?.trim().parse().ok());
     causes.next()
--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -122,8 +122,8 @@
 
 /// The key of a request as its server sees it.
 fn server_key(request: &Message) -> Option<Key> {
-    let top = header::first(request.get("Via")?);
-    let via = Via::read(top)?;
+    let top = header::first_value(request.get("Via")?);
+    let via = Via::parse(top)?;
     let (number, method) = request.cseq()?;
     let method = if method == "ACK" { "INVITE" } else { method }.to_owned();
     let branch = match via.branch {
@@ -140,9 +140,9 @@
 /// Marks where a request came from (RFC 3261, 18.2.1; RFC 3581) and tells where its responses go.
 fn mark(request: &mut Message, from: Hop) -> Option<(Hop, Option<Hop>)> {
     let (_, value) = request.headers.iter_mut().find(|(name, _)| name.eq_ignore_ascii_case("Via"))?;
-    let top = header::first(value).to_owned();
+    let top = header::first_value(value).to_owned();
     let rest = value[top.len()..].trim().to_owned();
-    let via = Via::read(&top)?;
+    let via = Via::parse(&top)?;
     let wanted = Hop { transport: from.transport, addr: (from.addr.ip(), via.port()).into() };
     let hop = match from.transport {
         Transport::Udp if !via.rport => wanted,
@@ -417,19 +417,20 @@
 
 /// The key of a request or response as its client sees it.
 fn client_key(message: &Message) -> Option<Key> {
-    let branch = Via::read(message.get("Via")?)?.branch?.to_owned();
+    let branch = Via::parse(message.get("Via")?)?.branch?.to_owned();
     let method = message.cseq()?.1.to_owned();
     Some(Key { branch, sent_by: String::new(), method })
 }
 
 /// The CANCEL of an INVITE, or the ACK of its refusal (RFC 3261, 9.1 and 17.1.1.3).
 fn follow_up(invite: &Message, method: &str, to: Option<&str>) -> Message {
-    let uri = match &invite.start {
-        super::message::Start::Request { uri, .. } => uri,
-        super::message::Start::Response { .. } => "",
+    let uri = match &invite.start_line {
+        super::message::StartLine::Request { uri, .. } => uri,
+        super::message::StartLine::Response { .. } => "",
     };
     let mut message = Message::request(method, uri);
-    message = message.with("Via", header::first(invite.get("Via").unwrap_or(""))).with("Max-Forwards", 70);
+    message =
+        message.with("Via", header::first_value(invite.get("Via").unwrap_or(""))).with("Max-Forwards", 70);
     message = message.with("From", invite.get("From").unwrap_or("")).with("To", to.unwrap_or(""));
     message = message.with("Call-ID", invite.get("Call-ID").unwrap_or(""));
     let routes = invite.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("Route"));
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -159,7 +159,7 @@
         for _ in 0..40 {
             let mut deaf = TcpStream::connect(scene.proxy.listen).await.expect("it accepts");
             let flood = async move {
-                let test = messages::options_request().bytes().repeat(100);
+                let test = messages::options_request().to_bytes().repeat(100);
                 // It ends once the proxy has had enough.
                 for _ in 0..300 {
                     if deaf.write_all(&test).await.is_err() {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -46,7 +46,7 @@
         for piece in pieces {
             framer.push(piece);
             loop {
-                match framer.pull() {
+                match framer.next_message() {
                     Ok(Some(message)) => read.push(format!("{message:?}")),
                     Ok(None) => break,
                     Err(lost) => return format!("{read:?} {lost:?}"),
@@ -61,13 +61,13 @@
 fn sip_datagrams_and_the_inside_of_their_headers() {
     let valid: Vec<u8> = MESSAGE.chars().map(|c| c as u8).collect();
     try_out(&valid, |pieces| {
-        let Ok(message) = Message::datagram(&pieces.concat()) else { return "malformed".to_owned() };
+        let Ok(message) = Message::parse_datagram(&pieces.concat()) else { return "malformed".to_owned() };
         // What is read is written so that it reads the same.
-        assert_eq!(Message::datagram(&message.bytes()).as_ref(), Ok(&message));
+        assert_eq!(Message::parse_datagram(&message.to_bytes()).as_ref(), Ok(&message));
         let inside = message.headers.iter().map(|(_, value)| {
-            let (via, address) = (Via::read(value), header::address(value));
-            let hop = Uri::read(address).map(|uri| uri.hop());
-            format!("{via:?} {address} {hop:?} {:?} {}", header::tag(value), header::first(value))
+            let (via, address) = (Via::parse(value), header::addr_spec(value));
+            let hop = Uri::parse(address).map(|uri| uri.hop());
+            format!("{via:?} {address} {hop:?} {:?} {}", header::tag(value), header::first_value(value))
         });
         inside.collect()
     });
@@ -193,9 +193,9 @@
     for bad in passable {
         let mut framer = Framer::default();
         framer.push(format!("{bad}{fine}").as_bytes());
-        let fault = framer.pull().expect("bounds").expect("whole").expect_err("malformed");
+        let fault = framer.next_message().expect("bounds").expect("whole").expect_err("malformed");
         assert_eq!(header_of(&fault.headers), Some("a"));
-        let next = framer.pull().expect("bounds").expect("whole").expect("fine");
+        let next = framer.next_message().expect("bounds").expect("whole").expect("fine");
         assert_eq!(next.method(), Some("OPTIONS"));
     }
     let lost = [
@@ -207,7 +207,7 @@
     for bad in lost {
         let mut framer = Framer::default();
         framer.push(bad.as_bytes());
-        assert!(framer.pull().is_err(), "{}", &bad[..40]);
+        assert!(framer.next_message().is_err(), "{}", &bad[..40]);
     }
 }
 
--- a/tests/platform_loopback.rs
+++ b/tests/platform_loopback.rs
@@ -52,7 +52,7 @@
 
 impl Peer {
     fn say(&mut self, message: &Message) {
-        self.lines[self.last].write_all(&message.bytes()).expect("it is sent");
+        self.lines[self.last].write_all(&message.to_bytes()).expect("it is sent");
     }
 
     fn receive(&mut self) -> Option<Message> {
@@ -208,7 +208,7 @@
 
 impl Speaks for Line {
     fn say(&mut self, message: &Message) {
-        assert!(self.send(&message.bytes()), "it could not be sent");
+        assert!(self.send(&message.to_bytes()), "it could not be sent");
     }
 
     /// The next message, which is a request of this method or a response of this code.
@@ -257,7 +257,10 @@
     caller.say(&invite("a"));
     let seen = peer.hear("INVITE");
     assert_eq!((seen.get("Call-ID"), seen.get("X-Tier")), (Some(id_of("a").as_str()), Some("alarm")));
-    assert_eq!((seen.start.clone(), seen.body.as_slice()), (invite("").start, &b"offer\r\n\0\xff"[..]));
+    assert_eq!(
+        (seen.start_line.clone(), seen.body.as_slice()),
+        (invite("").start_line, &b"offer\r\n\0\xff"[..])
+    );
     let left: u32 = seen.get("X-Deadline").and_then(|v| v.parse().ok()).expect("a number");
     assert!(left <= 2000, "not longer than the aim: {left}");
     peer.say(&Message::response(503, "Full", &seen.headers).with("X-Outcome", "overload"));
--- a/tests/sip_loopback.rs
+++ b/tests/sip_loopback.rs
@@ -153,8 +153,8 @@
     let cases: [(Spoil, u16); 8] = [
         (|m| swap(m, "X-Tier", "no-such-class"), 488),
         (|m| swap(m, "From", "<sip:a@stranger>;tag=s"), 403),
-        (|m| m.start = Message::request("INVITE", "sip:nowhere@x").start, 404),
-        (|m| m.start = Message::request("INVITE", "tel:+5021").start, 416),
+        (|m| m.start_line = Message::request("INVITE", "sip:nowhere@x").start_line, 404),
+        (|m| m.start_line = Message::request("INVITE", "tel:+5021").start_line, 416),
         (|m| swap(m, "X-Deadline", "soon"), 400),
         (|m| swap(m, "Max-Forwards", "0"), 483),
         (|m| swap(m, "Require", "100rel"), 420),
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -12,7 +12,7 @@
 use mallowring::config::Config;
 use mallowring::net::Node;
 use mallowring::sip::header::{self, Transport};
-use mallowring::sip::message::{Framer, Message, Start, MOST};
+use mallowring::sip::message::{Framer, Message, StartLine, MAX_MESSAGE_BYTES};
 
 /// So long that only a failure meets it.
 const NEVER: Duration = Duration::from_secs(60);
@@ -106,14 +106,14 @@
     }
 
     pub fn receive(&mut self) -> Option<Message> {
-        let mut bytes = vec![0; MOST];
+        let mut bytes = vec![0; MAX_MESSAGE_BYTES];
         match self {
             Line::Udp(socket, _) => {
                 let (n, _) = socket.recv_from(&mut bytes).ok()?;
-                Some(Message::datagram(&bytes[..n]).expect("a message"))
+                Some(Message::parse_datagram(&bytes[..n]).expect("a message"))
             }
             Line::Tcp(stream, framer) => loop {
-                if let Some(message) = framer.pull().expect("framing") {
+                if let Some(message) = framer.next_message().expect("framing") {
                     return Some(message.expect("a message"));
                 }
                 match stream.read(&mut bytes) {
@@ -180,7 +180,7 @@
     pub fn follow(&self, invite: &Message, method: &str) -> Message {
         let mut message = invite.clone();
         message.body.clear();
-        if let Start::Request { method: m, .. } = &mut message.start {
+        if let StartLine::Request { method: m, .. } = &mut message.start_line {
             *m = method.to_owned();
         }
         message.headers.retain(|(n, _)| !["CSeq", "Contact", "Priority", "X-Deadline"].contains(&n.as_str()));
@@ -196,7 +196,7 @@
 
     /// A request within the dialog that a success began.
     pub fn in_dialog(&self, success: &Message, method: &str) -> Message {
-        let target = header::address(success.get("Contact").expect("a Contact"));
+        let target = header::addr_spec(success.get("Contact").expect("a Contact"));
         let number = if method == "ACK" { 1 } else { 2 };
         Message::request(method, target)
             .with("Via", self.via())
@@ -212,7 +212,7 @@
     }
 
     pub fn try_send(&mut self, message: &Message) -> bool {
-        self.line.send(&message.bytes())
+        self.line.send(&message.to_bytes())
     }
 
     pub fn raw(&mut self, bytes: &[u8]) {
@@ -286,8 +286,8 @@
 impl Reply {
     fn send(&self, message: &Message) {
         match self {
-            Reply::Udp(socket, to) => drop(socket.send_to(&message.bytes(), to)),
-            Reply::Tcp(stream) => drop(stream.lock().expect("no panic").write_all(&message.bytes())),
+            Reply::Udp(socket, to) => drop(socket.send_to(&message.to_bytes(), to)),
+            Reply::Tcp(stream) => drop(stream.lock().expect("no panic").write_all(&message.to_bytes())),
         }
     }
 }
@@ -310,9 +310,9 @@
         let state = Arc::<(Mutex<State>, Condvar)>::default();
         let shared = state.clone();
         thread::spawn(move || {
-            let mut bytes = vec![0; MOST];
+            let mut bytes = vec![0; MAX_MESSAGE_BYTES];
             while let Ok((n, from)) = udp.recv_from(&mut bytes) {
-                let message = Message::datagram(&bytes[..n]).expect("a message of the proxy's");
+                let message = Message::parse_datagram(&bytes[..n]).expect("a message of the proxy's");
                 heed(&shared, addr, message, &Reply::Udp(udp.clone(), from));
             }
         });
@@ -404,13 +404,13 @@
 fn heed(shared: &Arc<(Mutex<State>, Condvar)>, addr: SocketAddr, message: Message, reply: &Reply) {
     let Some(method) = message.method().map(str::to_owned) else { return };
     let call_id = message.get("Call-ID").expect("a Call-ID").to_owned();
-    let branch = message.get("Via").and_then(|v| header::param(v, "branch")).expect("a branch");
+    let branch = message.get("Via").and_then(|v| header::parameter(v, "branch")).expect("a branch");
     let transaction = format!("{branch} {method}");
     let mut guard = shared.0.lock().expect("no panic");
     let state = &mut *guard;
     if method == "INVITE" {
-        let Start::Request { uri, .. } = &message.start else { return };
-        let number = header::Uri::read(uri).expect("a sip address").user.to_owned();
+        let StartLine::Request { uri, .. } = &message.start_line else { return };
+        let number = header::Uri::parse(uri).expect("a sip address").user.to_owned();
         state.calls.insert(call_id.clone(), number);
     }
     let number = state.calls.get(&call_id).cloned().unwrap_or_default();
