--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -19,7 +19,7 @@
 use crate::sip::agent::{Agent, Alarm, Output, Setup};
 use crate::sip::header::{Hop, Transport};
 use crate::sip::message::{header, Message, MAX_MESSAGE_BYTES};
-use crate::sip::transaction::Failure;
+use crate::sip::transaction::TransactionFailure;
 use crate::telemetry;
 
 /// Messages that may wait for a connection that is being made, and datagrams for the socket.
@@ -163,7 +163,7 @@
             SipMail::Connected(addr, Err(error)) => {
                 tracing::info!(%addr, %error, "no SIP connection came up");
                 self.connecting.remove(&addr);
-                self.agent.broken(now, tcp(addr), Failure::Unreached, out);
+                self.agent.broken(now, tcp(addr), TransactionFailure::Unreachable, out);
             }
             SipMail::Heard(addr, no, heard) => {
                 if self.conns.get(&addr).is_some_and(|(held, _)| *held == no) {
@@ -216,7 +216,7 @@
                 } else {
                     // Nothing can be answered: the connection says so.
                     self.conns.remove(&addr);
-                    self.agent.broken(now, tcp(addr), Failure::Broken, out);
+                    self.agent.broken(now, tcp(addr), TransactionFailure::ConnectionLost, out);
                 }
             }
             Heard::Over(over) => {
@@ -224,7 +224,7 @@
                     tracing::info!(%addr, ?over, "SIP connection lost");
                 }
                 self.conns.remove(&addr);
-                self.agent.broken(now, tcp(addr), Failure::Broken, out);
+                self.agent.broken(now, tcp(addr), TransactionFailure::ConnectionLost, out);
             }
         }
     }
--- a/src/sip/agent.rs
+++ b/src/sip/agent.rs
@@ -4,10 +4,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::dialog::{Dialog, Id};
+use super::dialog::{Dialog, DialogId};
 use super::header::{self, Hop, Transport, Uri, Via};
 use super::message::{Message, StartLine};
-use super::transaction::{self, Failure, Key, Out, Transactions, LONG, T1, T2};
+use super::transaction::{
+    self, TransactionFailure, TransactionKey, TransactionLayer, TransactionOutput, T1, T2,
+    TRANSACTION_TIMEOUT,
+};
 use super::{failure_outcome, q850_cause};
 use crate::calls::{CallEvent, CallerCommand, ExchangeCommand, Front, RejectReason, Request, SetUp};
 use crate::interface::*;
@@ -73,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Alarm {
     /// Of a transaction.
-    Transaction(transaction::Alarm),
+    Transaction(transaction::TransactionTimer),
     /// A success to a caller may have to be sent again.
     Unacknowledged(CallId),
 }
@@ -92,7 +95,7 @@
 /// The caller's side of a call.
 #[derive(Debug)]
 struct NearLeg {
-    key: Key,
+    key: TransactionKey,
     invite: Message,
     hop: Hop,
     tag: String,
@@ -109,7 +112,7 @@
 #[derive(Debug)]
 struct FarLeg {
     office: ExchangeId,
-    key: Option<Key>,
+    key: Option<TransactionKey>,
     width: u32,
     dialog: Option<Dialog>,
     /// The ACK that answers every repeat of the success.
@@ -123,16 +126,16 @@
 pub struct Agent {
     setup: Setup,
     rng: fastrand::Rng,
-    transactions: Transactions,
+    transactions: TransactionLayer,
     near: BTreeMap<CallId, NearLeg>,
-    by_key: BTreeMap<Key, CallId>,
-    near_dialogs: BTreeMap<Id, CallId>,
+    by_key: BTreeMap<TransactionKey, CallId>,
+    near_dialogs: BTreeMap<DialogId, CallId>,
     far: BTreeMap<Attempt, FarLeg>,
-    by_client: BTreeMap<Key, Attempt>,
-    far_dialogs: BTreeMap<Id, Attempt>,
+    by_client: BTreeMap<TransactionKey, Attempt>,
+    far_dialogs: BTreeMap<DialogId, Attempt>,
     used: BTreeMap<ExchangeId, u32>,
     /// What the transactions said while an event is handled.
-    said: Vec<Out>,
+    said: Vec<TransactionOutput>,
 }
 
 impl Agent {
@@ -141,7 +144,7 @@
         Agent {
             rng: fastrand::Rng::with_seed(setup.seed),
             setup,
-            transactions: Transactions::default(),
+            transactions: TransactionLayer::default(),
             near: BTreeMap::new(),
             by_key: BTreeMap::new(),
             near_dialogs: BTreeMap::new(),
@@ -174,7 +177,7 @@
         match alarm {
             Alarm::Transaction(alarm) => {
                 let mut said = std::mem::take(&mut self.said);
-                self.transactions.fired(now, alarm, &mut said);
+                self.transactions.on_timer(now, alarm, &mut said);
                 self.heed(now, said, out);
             }
             Alarm::Unacknowledged(id) => self.unacknowledged(now, id, out),
@@ -182,21 +185,23 @@
     }
 
     /// A connection has broken or none came up.
-    pub fn broken(&mut self, now: Time, hop: Hop, failure: Failure, out: &mut Vec<Output>) {
+    pub fn broken(&mut self, now: Time, hop: Hop, failure: TransactionFailure, out: &mut Vec<Output>) {
         let mut said = std::mem::take(&mut self.said);
-        self.transactions.broken(now, hop, failure, &mut said);
+        self.transactions.on_connection_failed(now, hop, failure, &mut said);
         self.heed(now, said, out);
     }
 
-    fn heed(&mut self, now: Time, mut said: Vec<Out>, out: &mut Vec<Output>) {
+    fn heed(&mut self, now: Time, mut said: Vec<TransactionOutput>, out: &mut Vec<Output>) {
         for one in said.drain(..) {
             match one {
-                Out::Send(hop, alt, message) => out.push(Output::Send(hop, alt, message)),
-                Out::Wake(at, alarm) => out.push(Output::Wake(at, Alarm::Transaction(alarm))),
-                Out::Request(key, hop, message) => self.on_request(now, key, hop, message, out),
-                Out::Ack(message) => self.on_ack(now, &message, out),
-                Out::Response(key, message) => self.on_response(now, &key, message, out),
-                Out::Failed(key, failure) => self.on_failed(&key, failure, out),
+                TransactionOutput::Send(hop, alt, message) => out.push(Output::Send(hop, alt, message)),
+                TransactionOutput::StartTimer(at, alarm) => {
+                    out.push(Output::Wake(at, Alarm::Transaction(alarm)))
+                }
+                TransactionOutput::Request(key, hop, message) => self.on_request(now, key, hop, message, out),
+                TransactionOutput::Ack(message) => self.on_ack(now, &message, out),
+                TransactionOutput::Response(key, message) => self.on_response(now, &key, message, out),
+                TransactionOutput::Failed(key, failure) => self.on_failed(&key, failure, out),
             }
         }
         self.said = said;
@@ -206,22 +211,27 @@
     fn with<T>(
         &mut self,
         out: &mut Vec<Output>,
-        work: impl FnOnce(&mut Transactions, &mut Vec<Out>) -> T,
+        work: impl FnOnce(&mut TransactionLayer, &mut Vec<TransactionOutput>) -> T,
     ) -> T {
         let mut said = Vec::new();
         let result = work(&mut self.transactions, &mut said);
         for one in said {
             match one {
-                Out::Send(hop, alt, message) => out.push(Output::Send(hop, alt, message)),
-                Out::Wake(at, alarm) => out.push(Output::Wake(at, Alarm::Transaction(alarm))),
+                TransactionOutput::Send(hop, alt, message) => out.push(Output::Send(hop, alt, message)),
+                TransactionOutput::StartTimer(at, alarm) => {
+                    out.push(Output::Wake(at, Alarm::Transaction(alarm)))
+                }
                 // What we start or answer ourselves brings nothing from outside.
-                Out::Request(..) | Out::Ack(_) | Out::Response(..) | Out::Failed(..) => {}
+                TransactionOutput::Request(..)
+                | TransactionOutput::Ack(_)
+                | TransactionOutput::Response(..)
+                | TransactionOutput::Failed(..) => {}
             }
         }
         result
     }
 
-    fn respond(&mut self, now: Time, key: &Key, response: Message, out: &mut Vec<Output>) {
+    fn respond(&mut self, now: Time, key: &TransactionKey, response: Message, out: &mut Vec<Output>) {
         self.with(out, |transactions, said| transactions.respond(now, key, response, said));
     }
 
@@ -241,7 +251,14 @@
 
     // ---- Callers -------------------------------------------------------------------------------
 
-    fn on_request(&mut self, now: Time, key: Key, hop: Hop, message: Message, out: &mut Vec<Output>) {
+    fn on_request(
+        &mut self,
+        now: Time,
+        key: TransactionKey,
+        hop: Hop,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         let plain = |status, reason| Message::response(status, reason, &message.headers);
         let method = message.method().unwrap_or("");
         let tagged = |name| message.get(name).is_some_and(|v| header::tag(v).is_some());
@@ -268,20 +285,27 @@
 
     /// What was agreed at the set-up stays as it is.
     fn on_reinvite(&mut self, message: &Message) -> Message {
-        let id = Id::of_request(message);
+        let id = DialogId::of_request(message);
         let near = self.near_dialogs.get(&id).and_then(|id| self.near.get_mut(id));
         let near = near.and_then(|leg| leg.success.as_mut().map(|(_, dialog)| dialog));
         let far = self.far_dialogs.get(&id).and_then(|attempt| self.far.get_mut(attempt));
         match near.or(far.and_then(|leg| leg.dialog.as_mut())) {
             None => Message::response(481, "Call/Transaction Does Not Exist", &message.headers),
-            Some(dialog) => match dialog.accepts(message) {
+            Some(dialog) => match dialog.accept_cseq(message) {
                 true => Message::response(488, "Not Acceptable Here", &message.headers),
                 false => Message::response(500, "Server Internal Error", &message.headers),
             },
         }
     }
 
-    fn on_invite(&mut self, now: Time, key: Key, hop: Hop, message: Message, out: &mut Vec<Output>) {
+    fn on_invite(
+        &mut self,
+        now: Time,
+        key: TransactionKey,
+        hop: Hop,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         let same = |leg: &NearLeg| {
             let tag = |m: &Message| m.get("From").and_then(header::tag).map(str::to_owned);
             let (a, b) = (&leg.invite, &message);
@@ -358,12 +382,12 @@
         })
     }
 
-    fn on_cancel(&mut self, now: Time, key: &Key, message: &Message, out: &mut Vec<Output>) {
-        let invite = Key { method: "INVITE".to_owned(), ..key.clone() };
-        let known = self.transactions.way_back(&invite).is_some();
+    fn on_cancel(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<Output>) {
+        let invite = TransactionKey { method: "INVITE".to_owned(), ..key.clone() };
+        let known = self.transactions.response_destination(&invite).is_some();
         let (status, reason) = if known { (200, "OK") } else { (481, "Call/Transaction Does Not Exist") };
         self.respond(now, key, Message::response(status, reason, &message.headers), out);
-        if !self.transactions.is_open(&invite) {
+        if !self.transactions.awaits_final_response(&invite) {
             return;
         }
         if let Some(id) = self.by_key.remove(&invite) {
@@ -376,8 +400,8 @@
         }
     }
 
-    fn on_bye(&mut self, now: Time, key: &Key, message: &Message, out: &mut Vec<Output>) {
-        let id = Id::of_request(message);
+    fn on_bye(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<Output>) {
+        let id = DialogId::of_request(message);
         let (status, reason) = if let Some(call) = self.near_dialogs.remove(&id) {
             self.forget_near(&call);
             out.push(Output::Core(CallEvent::CallerReleased(call)));
@@ -401,7 +425,7 @@
     }
 
     fn on_ack(&mut self, now: Time, message: &Message, out: &mut Vec<Output>) {
-        let Some(id) = self.near_dialogs.get(&Id::of_request(message)).cloned() else { return };
+        let Some(id) = self.near_dialogs.get(&DialogId::of_request(message)).cloned() else { return };
         let Some(leg) = self.near.get_mut(&id) else { return };
         leg.acked = true;
         if let Some(cause) = leg.release.take() {
@@ -414,14 +438,14 @@
     fn unacknowledged(&mut self, now: Time, id: CallId, out: &mut Vec<Output>) {
         let Some(leg) = self.near.get_mut(&id) else { return };
         let (Some((success, _)), false) = (&leg.success, leg.acked) else { return };
-        if now - leg.since >= LONG {
+        if now - leg.since >= TRANSACTION_TIMEOUT {
             let cause = leg.release.take();
             if cause.is_none() {
                 out.push(Output::Core(CallEvent::CallerReleased(id.clone())));
             }
             return self.release_near(now, &id, cause.unwrap_or(16), out);
         }
-        let (hop, alt) = self.transactions.way_back(&leg.key).unwrap_or((leg.hop, None));
+        let (hop, alt) = self.transactions.response_destination(&leg.key).unwrap_or((leg.hop, None));
         out.push(Output::Send(hop, alt, success.clone()));
         leg.interval = (2.0 * leg.interval).min(T2);
         out.push(Output::Wake(now + leg.interval, Alarm::Unacknowledged(id)));
@@ -442,11 +466,11 @@
     }
 
     fn bye(&mut self, now: Time, mut dialog: Dialog, cause: u32, out: &mut Vec<Output>) {
-        let (hop, alt) = dialog.way();
+        let (hop, alt) = dialog.next_hop();
         let via = self.via(hop.transport);
         let bye = dialog.request("BYE", &via).with("Reason", format_args!("Q.850;cause={cause}"));
         let mut sent = Vec::new();
-        self.with(&mut sent, |transactions, said| transactions.request(now, hop, bye, said));
+        self.with(&mut sent, |transactions, said| transactions.send_request(now, hop, bye, said));
         // The first copy may take the connection that the dialog began on.
         out.extend(sent.into_iter().map(|one| match one {
             Output::Send(hop, _, message) => Output::Send(hop, alt, message),
@@ -506,7 +530,7 @@
             success.body = description.to_vec();
         }
         let Some(leg) = self.near.get_mut(&id) else { return };
-        let Some(dialog) = Dialog::answered(&leg.invite, &leg.tag, leg.hop) else { return };
+        let Some(dialog) = Dialog::as_uas(&leg.invite, &leg.tag, leg.hop) else { return };
         self.near_dialogs.insert(dialog.id.clone(), id.clone());
         leg.success = Some((success.clone(), dialog));
         leg.since = now;
@@ -531,7 +555,7 @@
             ExchangeCommand::CancelSetUp { leg } => {
                 let key = self.far.get(&(id, leg)).and_then(|leg| leg.key.clone());
                 if let Some(key) = key {
-                    self.with(out, |transactions, said| transactions.call_off(now, &key, said));
+                    self.with(out, |transactions, said| transactions.cancel_invite(now, &key, said));
                 }
             }
             ExchangeCommand::Release { leg } => {
@@ -575,7 +599,7 @@
         let attempt = (id, set_up.leg);
         *self.used.entry(office).or_insert(0) += set_up.width;
         self.state(office, out);
-        let key = self.with(out, |transactions, said| transactions.request(now, hop, invite, said));
+        let key = self.with(out, |transactions, said| transactions.send_request(now, hop, invite, said));
         self.by_client.extend(key.clone().map(|key| (key, attempt.clone())));
         self.far.insert(attempt, FarLeg { office, key, width: set_up.width, dialog: None, ack: None });
     }
@@ -609,7 +633,7 @@
         Some(leg.office)
     }
 
-    fn on_response(&mut self, now: Time, key: &Key, message: Message, out: &mut Vec<Output>) {
+    fn on_response(&mut self, now: Time, key: &TransactionKey, message: Message, out: &mut Vec<Output>) {
         let status = message.status().unwrap_or(500);
         if key.method != "INVITE" {
             return;
@@ -657,11 +681,11 @@
         let contact =
             message.get("Contact").map(header::addr_spec).and_then(Uri::parse).and_then(|uri| uri.hop());
         let Some(hop) = hop.or(contact) else { return };
-        let Some(dialog) = Dialog::called(&message, hop) else {
+        let Some(dialog) = Dialog::as_uac(&message, hop) else {
             tracing::warn!("a success without Contact can't be acknowledged");
             return;
         };
-        let (way, alt) = dialog.way();
+        let (way, alt) = dialog.next_hop();
         if let Some(leg) = leg {
             match (&leg.dialog, &leg.ack) {
                 (Some(held), Some(ack)) if held.id == dialog.id => {
@@ -687,12 +711,12 @@
         out.push(Output::Core(CallEvent::Answered { id, exchange: office, leg: Some(leg), description }));
     }
 
-    fn on_failed(&mut self, key: &Key, failure: Failure, out: &mut Vec<Output>) {
+    fn on_failed(&mut self, key: &TransactionKey, failure: TransactionFailure, out: &mut Vec<Output>) {
         let Some((id, leg)) = self.by_client.get(key).cloned() else { return };
         let outcome = match failure {
-            Failure::Timeout => Outcome::TimedOut,
-            Failure::Unreached => Outcome::ConnectFailed,
-            Failure::Broken => Outcome::Reset,
+            TransactionFailure::Timeout => Outcome::TimedOut,
+            TransactionFailure::Unreachable => Outcome::ConnectFailed,
+            TransactionFailure::ConnectionLost => Outcome::Reset,
         };
         if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
             let (leg, why, report) = (Some(leg), Cause::Unspecified, LoadReport::default());
--- a/src/sip/dialog.rs
+++ b/src/sip/dialog.rs
@@ -5,20 +5,20 @@
 
 /// The name of a dialog at one of its ends.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Id {
+pub struct DialogId {
     /// The Call-ID.
     pub call_id: String,
     /// Our tag.
-    pub local: String,
+    pub local_tag: String,
     /// The other end's tag; empty where it gave none, as before RFC 3261.
-    pub remote: String,
+    pub remote_tag: String,
 }
 
 /// One end of a dialog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dialog {
     /// Its name.
-    pub id: Id,
+    pub id: DialogId,
     local: String,
     remote: String,
     target: String,
@@ -46,22 +46,22 @@
     routes
 }
 
-impl Id {
+impl DialogId {
     /// The dialog that a request of the other end belongs to.
-    pub fn of_request(request: &Message) -> Id {
-        Id {
+    pub fn of_request(request: &Message) -> DialogId {
+        DialogId {
             call_id: request.get("Call-ID").unwrap_or("").to_owned(),
-            local: tag_of(request, "To"),
-            remote: tag_of(request, "From"),
+            local_tag: tag_of(request, "To"),
+            remote_tag: tag_of(request, "From"),
         }
     }
 }
 
 impl Dialog {
     /// The dialog that our success to an INVITE begins.
-    pub fn answered(invite: &Message, local_tag: &str, from: Hop) -> Option<Dialog> {
-        let mut id = Id::of_request(invite);
-        id.local = local_tag.to_owned();
+    pub fn as_uas(invite: &Message, local_tag: &str, from: Hop) -> Option<Dialog> {
+        let mut id = DialogId::of_request(invite);
+        id.local_tag = local_tag.to_owned();
         Some(Dialog {
             local: format!("{};tag={local_tag}", invite.get("To")?),
             remote: invite.get("From")?.to_owned(),
@@ -75,14 +75,14 @@
     }
 
     /// The dialog that a success to our INVITE begins.
-    pub fn called(success: &Message, hop: Hop) -> Option<Dialog> {
+    pub fn as_uac(success: &Message, hop: Hop) -> Option<Dialog> {
         let mut routes = record_routes(success);
         routes.reverse();
         Some(Dialog {
-            id: Id {
+            id: DialogId {
                 call_id: success.get("Call-ID")?.to_owned(),
-                local: tag_of(success, "From"),
-                remote: tag_of(success, "To"),
+                local_tag: tag_of(success, "From"),
+                remote_tag: tag_of(success, "To"),
             },
             local: success.get("From")?.to_owned(),
             remote: success.get("To")?.to_owned(),
@@ -95,13 +95,13 @@
     }
 
     /// Where our requests go, and the way that the dialog began on, for where no connection can be made.
-    pub fn way(&self) -> (Hop, Option<Hop>) {
+    pub fn next_hop(&self) -> (Hop, Option<Hop>) {
         let next = self.routes.first().map_or(self.target.as_str(), |route| header::addr_spec(route));
         (Uri::parse(next).and_then(|uri| uri.hop()).unwrap_or(self.hop), Some(self.hop))
     }
 
     /// Takes the number of a request of the other end; false where it is out of order.
-    pub fn accepts(&mut self, request: &Message) -> bool {
+    pub fn accept_cseq(&mut self, request: &Message) -> bool {
         let Some((number, _)) = request.cseq() else { return false };
         let in_order = self.remote_cseq.is_none_or(|last| number > last);
         if in_order {
--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -17,13 +17,13 @@
 /// How long a message may live in the network.
 pub const T4: Secs = 5.0;
 /// Timers B, D, F, H, J, L and M.
-pub const LONG: Secs = 64.0 * T1;
+pub const TRANSACTION_TIMEOUT: Secs = 64.0 * T1;
 /// Transactions of one agent at most; a request beyond is answered with 503 and forgotten.
-pub const MOST: usize = 20_000;
+pub const MAX_TRANSACTIONS: usize = 20_000;
 
 /// The name of a transaction: its branch, who sent it, its method. An ACK bears its INVITE's.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct TransactionKey {
     /// The branch, or what stood for it before RFC 3261.
     pub branch: String,
     /// The sender; empty for a client's own.
@@ -34,39 +34,39 @@
 
 /// A timer of this layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Alarm {
+pub enum TransactionTimer {
     /// Of a server transaction.
-    Server(Key),
+    Server(TransactionKey),
     /// Of a client transaction.
-    Client(Key),
+    Client(TransactionKey),
 }
 
 /// Why a client transaction failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum TransactionFailure {
     /// No answer came in time.
     Timeout,
     /// No connection came up: nothing was sent.
-    Unreached,
+    Unreachable,
     /// Its connection broke.
-    Broken,
+    ConnectionLost,
 }
 
 /// What this layer wants done or tells.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum TransactionOutput {
     /// A message leaves. Where its connection has gone, the second way is to be taken.
     Send(Hop, Option<Hop>, Message),
     /// A timer is wanted.
-    Wake(Time, Alarm),
+    StartTimer(Time, TransactionTimer),
     /// A new request has come in.
-    Request(Key, Hop, Message),
+    Request(TransactionKey, Hop, Message),
     /// An ACK to a success has come in.
     Ack(Message),
     /// A response has come in; a success may come several times.
-    Response(Key, Message),
+    Response(TransactionKey, Message),
     /// No response comes any more.
-    Failed(Key, Failure),
+    Failed(TransactionKey, TransactionFailure),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,9 +111,9 @@
 
 /// All transactions of one agent.
 #[derive(Debug, Default)]
-pub struct Transactions {
-    server: BTreeMap<Key, Server>,
-    client: BTreeMap<Key, Client>,
+pub struct TransactionLayer {
+    server: BTreeMap<TransactionKey, Server>,
+    client: BTreeMap<TransactionKey, Client>,
 }
 
 fn is_due(at: Option<Time>, now: Time) -> bool {
@@ -121,7 +121,7 @@
 }
 
 /// The key of a request as its server sees it.
-fn server_key(request: &Message) -> Option<Key> {
+fn server_key(request: &Message) -> Option<TransactionKey> {
     let top = header::first_value(request.get("Via")?);
     let via = Via::parse(top)?;
     let (number, method) = request.cseq()?;
@@ -134,7 +134,7 @@
             format!("{}|{number}|{from}|{top}", request.get("Call-ID")?)
         }
     };
-    Some(Key { branch, sent_by: via.sent_by.to_ascii_lowercase(), method })
+    Some(TransactionKey { branch, sent_by: via.sent_by.to_ascii_lowercase(), method })
 }
 
 /// Marks where a request came from (RFC 3261, 18.2.1; RFC 3581) and tells where its responses go.
@@ -158,7 +158,7 @@
     Some((hop, (from.transport == Transport::Tcp).then_some(wanted)))
 }
 
-impl Transactions {
+impl TransactionLayer {
     /// Transactions that are held.
     pub fn len(&self) -> usize {
         self.server.len() + self.client.len()
@@ -170,7 +170,7 @@
     }
 
     /// Takes a message that came in.
-    pub fn receive(&mut self, now: Time, from: Hop, mut message: Message, out: &mut Vec<Out>) {
+    pub fn receive(&mut self, now: Time, from: Hop, mut message: Message, out: &mut Vec<TransactionOutput>) {
         if message.status().is_some() {
             return self.on_response(now, message, out);
         }
@@ -178,12 +178,12 @@
             // Without a Via there is no way back but the one it came.
             if message.method() != Some("ACK") {
                 let refusal = Message::response(400, "Bad Request", &message.headers);
-                out.push(Out::Send(from, None, refusal));
+                out.push(TransactionOutput::Send(from, None, refusal));
             }
             return;
         };
         let is_ack = message.method() == Some("ACK");
-        let full = self.len() >= MOST;
+        let full = self.len() >= MAX_TRANSACTIONS;
         match self.server.get_mut(&key) {
             Some(server) if is_ack => {
                 if server.state == State::Completed {
@@ -191,21 +191,21 @@
                     server.resend_at = None;
                     let end = now + T4;
                     server.ends_at = Some(end);
-                    out.push(Out::Wake(end, Alarm::Server(key)));
+                    out.push(TransactionOutput::StartTimer(end, TransactionTimer::Server(key)));
                 } else if server.state == State::Accepted {
-                    out.push(Out::Ack(message));
+                    out.push(TransactionOutput::Ack(message));
                 }
             }
-            None if is_ack => out.push(Out::Ack(message)),
+            None if is_ack => out.push(TransactionOutput::Ack(message)),
             Some(server) => {
                 // Repeated, maybe another way: what was said last goes the new way.
                 (server.hop, server.alt) = (hop, alt);
                 if matches!(server.state, State::Proceeding | State::Completed) {
-                    out.extend(server.last.clone().map(|last| Out::Send(hop, alt, last)));
+                    out.extend(server.last.clone().map(|last| TransactionOutput::Send(hop, alt, last)));
                 }
             }
             None if full => {
-                out.push(Out::Send(
+                out.push(TransactionOutput::Send(
                     hop,
                     alt,
                     Message::response(503, "Service Unavailable", &message.headers),
@@ -219,36 +219,42 @@
                     let trying = Message::response(100, "Trying", &message.headers);
                     self.respond(now, &key, trying, out);
                 }
-                out.push(Out::Request(key, hop, message));
+                out.push(TransactionOutput::Request(key, hop, message));
             }
         }
     }
 
     /// Whether a server transaction still waits for its final response.
-    pub fn is_open(&self, key: &Key) -> bool {
+    pub fn awaits_final_response(&self, key: &TransactionKey) -> bool {
         self.server.get(key).is_some_and(|s| s.state == State::Proceeding)
     }
 
     /// Where the responses of a server transaction go.
-    pub fn way_back(&self, key: &Key) -> Option<(Hop, Option<Hop>)> {
+    pub fn response_destination(&self, key: &TransactionKey) -> Option<(Hop, Option<Hop>)> {
         self.server.get(key).map(|s| (s.hop, s.alt))
     }
 
     /// Answers a request. A second final response is not sent.
-    pub fn respond(&mut self, now: Time, key: &Key, response: Message, out: &mut Vec<Out>) {
+    pub fn respond(
+        &mut self,
+        now: Time,
+        key: &TransactionKey,
+        response: Message,
+        out: &mut Vec<TransactionOutput>,
+    ) {
         let Some(server) = self.server.get_mut(key) else { return };
         let status = response.status().unwrap_or(500);
         if server.state != State::Proceeding {
             return;
         }
-        out.push(Out::Send(server.hop, server.alt, response.clone()));
+        out.push(TransactionOutput::Send(server.hop, server.alt, response.clone()));
         server.last = Some(response);
         if status < 200 {
             return;
         }
-        let end = now + LONG;
+        let end = now + TRANSACTION_TIMEOUT;
         server.ends_at = Some(end);
-        out.push(Out::Wake(end, Alarm::Server(key.clone())));
+        out.push(TransactionOutput::StartTimer(end, TransactionTimer::Server(key.clone())));
         if key.method == "INVITE" && status < 300 {
             server.state = State::Accepted;
             return;
@@ -257,20 +263,26 @@
         if key.method == "INVITE" && server.hop.transport == Transport::Udp {
             let at = now + server.interval;
             server.resend_at = Some(at);
-            out.push(Out::Wake(at, Alarm::Server(key.clone())));
+            out.push(TransactionOutput::StartTimer(at, TransactionTimer::Server(key.clone())));
         }
     }
 
     /// Sends a request whose topmost Via bears a fresh branch.
-    pub fn request(&mut self, now: Time, hop: Hop, request: Message, out: &mut Vec<Out>) -> Option<Key> {
+    pub fn send_request(
+        &mut self,
+        now: Time,
+        hop: Hop,
+        request: Message,
+        out: &mut Vec<TransactionOutput>,
+    ) -> Option<TransactionKey> {
         let key = client_key(&request)?;
-        out.push(Out::Send(hop, None, request.clone()));
-        let (end, mut resend_at) = (now + LONG, None);
+        out.push(TransactionOutput::Send(hop, None, request.clone()));
+        let (end, mut resend_at) = (now + TRANSACTION_TIMEOUT, None);
         if hop.transport == Transport::Udp {
             resend_at = Some(now + T1);
-            out.push(Out::Wake(now + T1, Alarm::Client(key.clone())));
+            out.push(TransactionOutput::StartTimer(now + T1, TransactionTimer::Client(key.clone())));
         }
-        out.push(Out::Wake(end, Alarm::Client(key.clone())));
+        out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
         let client = Client {
             hop,
             state: State::Proceeding,
@@ -289,28 +301,28 @@
 
     /// Calls an INVITE off: at once if anything was heard, else as soon as something is (RFC 3261, 9.1). It
     /// is not sent again meanwhile, and stays for the answer that may cross.
-    pub fn call_off(&mut self, now: Time, key: &Key, out: &mut Vec<Out>) {
+    pub fn cancel_invite(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
         let Some(client) = self.client.get_mut(key) else { return };
         if client.state != State::Proceeding || std::mem::replace(&mut client.called_off, true) {
             return;
         }
         client.resend_at = None;
-        let end = now + LONG;
+        let end = now + TRANSACTION_TIMEOUT;
         client.ends_at = Some(end);
-        out.push(Out::Wake(end, Alarm::Client(key.clone())));
+        out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
         if client.heard {
             self.cancel(now, key, out);
         }
     }
 
-    fn cancel(&mut self, now: Time, key: &Key, out: &mut Vec<Out>) {
+    fn cancel(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
         let Some(client) = self.client.get(key) else { return };
         let hop = client.hop;
         let cancel = follow_up(&client.request, "CANCEL", client.request.get("To"));
-        self.request(now, hop, cancel, out);
+        self.send_request(now, hop, cancel, out);
     }
 
-    fn on_response(&mut self, now: Time, message: Message, out: &mut Vec<Out>) {
+    fn on_response(&mut self, now: Time, message: Message, out: &mut Vec<TransactionOutput>) {
         let (Some(key), Some(status)) = (client_key(&message), message.status()) else { return };
         let Some(client) = self.client.get_mut(&key) else { return };
         let invite = key.method == "INVITE";
@@ -332,64 +344,66 @@
                     }
                     return;
                 }
-                out.push(Out::Response(key, message));
+                out.push(TransactionOutput::Response(key, message));
             }
             (State::Proceeding, _) => {
                 client.resend_at = None;
                 let success = invite && status < 300;
                 client.state = if success { State::Accepted } else { State::Completed };
-                let end = now + if invite { LONG } else { T4 };
+                let end = now + if invite { TRANSACTION_TIMEOUT } else { T4 };
                 client.ends_at = Some(end);
-                out.push(Out::Wake(end, Alarm::Client(key.clone())));
+                out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
                 if invite && !success {
                     let ack = follow_up(&client.request, "ACK", message.get("To"));
-                    out.push(Out::Send(client.hop, None, ack.clone()));
+                    out.push(TransactionOutput::Send(client.hop, None, ack.clone()));
                     client.ack = Some(ack);
                 }
                 if success || !std::mem::replace(&mut client.told, true) {
-                    out.push(Out::Response(key, message));
+                    out.push(TransactionOutput::Response(key, message));
                 }
             }
             (State::Completed, 300..) => {
-                out.extend(client.ack.clone().map(|ack| Out::Send(client.hop, None, ack)));
+                out.extend(client.ack.clone().map(|ack| TransactionOutput::Send(client.hop, None, ack)));
             }
-            (State::Accepted, 200..=299) => out.push(Out::Response(key, message)),
+            (State::Accepted, 200..=299) => out.push(TransactionOutput::Response(key, message)),
             _ => {}
         }
     }
 
     /// A timer has run down; one that is no longer wanted moves nothing.
-    pub fn fired(&mut self, now: Time, alarm: Alarm, out: &mut Vec<Out>) {
+    pub fn on_timer(&mut self, now: Time, alarm: TransactionTimer, out: &mut Vec<TransactionOutput>) {
         match alarm {
-            Alarm::Server(key) => {
+            TransactionTimer::Server(key) => {
                 let Some(server) = self.server.get_mut(&key) else { return };
                 if is_due(server.ends_at, now) {
                     self.server.remove(&key);
                 } else if is_due(server.resend_at, now) {
-                    out.extend(server.last.clone().map(|last| Out::Send(server.hop, server.alt, last)));
+                    out.extend(
+                        server.last.clone().map(|last| TransactionOutput::Send(server.hop, server.alt, last)),
+                    );
                     server.interval = (2.0 * server.interval).min(T2);
                     let at = now + server.interval;
                     server.resend_at = Some(at);
-                    out.push(Out::Wake(at, Alarm::Server(key)));
+                    out.push(TransactionOutput::StartTimer(at, TransactionTimer::Server(key)));
                 }
             }
-            Alarm::Client(key) => {
+            TransactionTimer::Client(key) => {
                 let Some(client) = self.client.get_mut(&key) else { return };
                 if is_due(client.ends_at, now) {
                     let told = client.told || client.state != State::Proceeding;
                     self.client.remove(&key);
                     if !told {
-                        out.push(Out::Failed(key, Failure::Timeout));
+                        out.push(TransactionOutput::Failed(key, TransactionFailure::Timeout));
                     }
                 } else if is_due(client.resend_at, now) {
-                    out.push(Out::Send(client.hop, None, client.request.clone()));
+                    out.push(TransactionOutput::Send(client.hop, None, client.request.clone()));
                     client.interval *= 2.0;
                     if key.method != "INVITE" {
                         client.interval = client.interval.min(T2);
                     }
                     let at = now + client.interval;
                     client.resend_at = Some(at);
-                    out.push(Out::Wake(at, Alarm::Client(key)));
+                    out.push(TransactionOutput::StartTimer(at, TransactionTimer::Client(key)));
                 }
             }
         }
@@ -397,7 +411,13 @@
 
     /// A connection has broken, or none came up. What waits there has failed; what a server owes does not
     /// depend on its connection and goes another way.
-    pub fn broken(&mut self, now: Time, hop: Hop, failure: Failure, out: &mut Vec<Out>) {
+    pub fn on_connection_failed(
+        &mut self,
+        now: Time,
+        hop: Hop,
+        failure: TransactionFailure,
+        out: &mut Vec<TransactionOutput>,
+    ) {
         for (key, client) in &mut self.client {
             if client.hop != hop || client.state != State::Proceeding {
                 continue;
@@ -405,21 +425,21 @@
             // It stays for an answer that may still come.
             client.called_off = true;
             client.resend_at = None;
-            let end = now + LONG;
+            let end = now + TRANSACTION_TIMEOUT;
             client.ends_at = Some(end);
-            out.push(Out::Wake(end, Alarm::Client(key.clone())));
+            out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
             if !std::mem::replace(&mut client.told, true) {
-                out.push(Out::Failed(key.clone(), failure));
+                out.push(TransactionOutput::Failed(key.clone(), failure));
             }
         }
     }
 }
 
 /// The key of a request or response as its client sees it.
-fn client_key(message: &Message) -> Option<Key> {
+fn client_key(message: &Message) -> Option<TransactionKey> {
     let branch = Via::parse(message.get("Via")?)?.branch?.to_owned();
     let method = message.cseq()?.1.to_owned();
-    Some(Key { branch, sent_by: String::new(), method })
+    Some(TransactionKey { branch, sent_by: String::new(), method })
 }
 
 /// The CANCEL of an INVITE, or the ACK of its refusal (RFC 3261, 9.1 and 17.1.1.3).
