--- a/src/config.rs
+++ b/src/config.rs
@@ -501,7 +501,7 @@
                 .key_error(key("prefixes"), "at least one prefix is required, and no prefix may be empty"));
         }
         Ok(Exchange {
-            office: ExchangeId(FIRST_SIP_EXCHANGE_ID + ix as u64),
+            id: ExchangeId(FIRST_SIP_EXCHANGE_ID + ix as u64),
             number: ExchangeNumber(e.number),
             prefixes: e.prefixes,
             hop: Hop { transport, addr: e.address },
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -13,7 +13,7 @@
 use crate::calls::wheel::Wheel;
 use crate::calls::{CallEvent, CallTimer};
 use crate::interface::{Secs, Time};
-use crate::sip::agent::Alarm;
+use crate::sip::agent::AgentTimer;
 
 /// Unix time as it was at the start plus what has passed since: it never goes back.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
     /// The core wants to be woken.
     Core(CallTimer),
     /// The SIP front does.
-    Sip(Alarm),
+    Sip(AgentTimer),
     /// The platform's front looks after its connections.
     Front,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -28,7 +28,7 @@
 use crate::config::Config;
 use crate::limits::descriptors::DescriptorPlan;
 use crate::limits::memory::MemoryPlan;
-use crate::sip::agent::{ClassOfCall, Setup};
+use crate::sip::agent::{AgentConfig, CallClass};
 use conn::Outboxes;
 use permits::Permits;
 
@@ -167,16 +167,16 @@
             let (mailbox, mail) = unbounded();
             let addr = udp.local_addr()?;
             tracing::info!(name = config.name, listen = %addr, "SIP over UDP and TCP started");
-            sip_offices = at.exchanges.iter().map(|e| e.line()).collect();
-            let class = |c: &crate::interface::Class| ClassOfCall {
+            sip_offices = at.exchanges.iter().map(|e| e.roster_entry()).collect();
+            let class = |c: &crate::interface::Class| CallClass {
                 name: c.name.clone(),
                 give_up: c.give_up_after,
                 width: c.width,
             };
-            let setup = Setup {
+            let setup = AgentConfig {
                 addr,
                 classes: config.settings.classes.iter().map(class).collect(),
-                urgent: at.urgent_class,
+                urgent_class: at.urgent_class,
                 exchanges: at.exchanges,
                 seed: config.seed ^ 0x51b,
             };
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -16,7 +16,7 @@
 use super::{or_late, post, Tasks};
 use crate::calls::{CallerCommand, ExchangeCommand};
 use crate::interface::*;
-use crate::sip::agent::{Agent, Alarm, Output, Setup};
+use crate::sip::agent::{Agent, AgentConfig, AgentOutput, AgentTimer};
 use crate::sip::header::{Hop, Transport};
 use crate::sip::message::{header, Message, MAX_MESSAGE_BYTES};
 use crate::sip::transaction::TransactionFailure;
@@ -43,7 +43,7 @@
     /// A connection, by its far end and its number, brings something.
     Heard(SocketAddr, u64, Heard),
     /// A timer has run down.
-    Woken(Alarm),
+    Woken(AgentTimer),
 }
 
 /// What the actor needs.
@@ -79,7 +79,7 @@
 
 impl SipFront {
     /// Runs for ever.
-    pub async fn run(self, setup: Setup, udp: UdpSocket, tcp: TcpListener, mail: Receiver<SipMail>) {
+    pub async fn run(self, setup: AgentConfig, udp: UdpSocket, tcp: TcpListener, mail: Receiver<SipMail>) {
         let (datagrams, queue) = bounded(WAITING);
         self.tasks.spawn(send(udp.clone(), queue)).detach();
         self.tasks.spawn(receive(udp, self.mailbox.clone())).detach();
@@ -139,12 +139,12 @@
 }
 
 impl State {
-    fn take(&mut self, mail: SipMail, out: &mut Vec<Output>) {
+    fn take(&mut self, mail: SipMail, out: &mut Vec<AgentOutput>) {
         let now = self.front.clock.now();
         match mail {
-            SipMail::Near(id, near) => self.agent.near(now, id, near, out),
-            SipMail::Far(office, id, far) => self.agent.far(now, office, id, far, out),
-            SipMail::Woken(alarm) => self.agent.fired(now, alarm, out),
+            SipMail::Near(id, near) => self.agent.send_to_caller(now, id, near, out),
+            SipMail::Far(office, id, far) => self.agent.send_to_exchange(now, office, id, far, out),
+            SipMail::Woken(alarm) => self.agent.on_timer(now, alarm, out),
             SipMail::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, out),
             SipMail::Accepted(stream, addr) => {
                 if self.conns.len() >= self.front.most {
@@ -163,7 +163,7 @@
             SipMail::Connected(addr, Err(error)) => {
                 tracing::info!(%addr, %error, "no SIP connection came up");
                 self.connecting.remove(&addr);
-                self.agent.broken(now, tcp(addr), TransactionFailure::Unreachable, out);
+                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::Unreachable, out);
             }
             SipMail::Heard(addr, no, heard) => {
                 if self.conns.get(&addr).is_some_and(|(held, _)| *held == no) {
@@ -173,7 +173,7 @@
         }
     }
 
-    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
+    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], out: &mut Vec<AgentOutput>) {
         if bytes.iter().all(|b| matches!(b, b'\r' | b'\n' | 0)) {
             return; // Keeps a way through a NAT open.
         }
@@ -205,7 +205,7 @@
         self.conns.get(&addr).is_some_and(|(_, conn)| conn.write(message))
     }
 
-    fn heard(&mut self, now: Time, addr: SocketAddr, heard: Heard, out: &mut Vec<Output>) {
+    fn heard(&mut self, now: Time, addr: SocketAddr, heard: Heard, out: &mut Vec<AgentOutput>) {
         match heard {
             Heard::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, out),
             Heard::Message(Err(fault)) => {
@@ -216,7 +216,7 @@
                 } else {
                     // Nothing can be answered: the connection says so.
                     self.conns.remove(&addr);
-                    self.agent.broken(now, tcp(addr), TransactionFailure::ConnectionLost, out);
+                    self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::ConnectionLost, out);
                 }
             }
             Heard::Over(over) => {
@@ -224,21 +224,21 @@
                     tracing::info!(%addr, ?over, "SIP connection lost");
                 }
                 self.conns.remove(&addr);
-                self.agent.broken(now, tcp(addr), TransactionFailure::ConnectionLost, out);
+                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::ConnectionLost, out);
             }
         }
     }
 
-    async fn carry_out(&mut self, out: &mut Vec<Output>) {
+    async fn carry_out(&mut self, out: &mut Vec<AgentOutput>) {
         for output in std::mem::take(out) {
             match output {
-                Output::Send(hop, alt, message) => self.send(hop, alt, message),
-                Output::Wake(at, alarm) => {
+                AgentOutput::Send(hop, alt, message) => self.send(hop, alt, message),
+                AgentOutput::StartTimer(at, alarm) => {
                     if self.front.alarms.try_send((at, Due::Sip(alarm))).is_err() {
                         tracing::error!("the clock has ended: an alarm is lost");
                     }
                 }
-                Output::Core(input) => post(&self.front.engine, EngineMail::Input(input)).await,
+                AgentOutput::CallTable(input) => post(&self.front.engine, EngineMail::Input(input)).await,
             }
         }
     }
--- a/src/sip/agent.rs
+++ b/src/sip/agent.rs
@@ -19,7 +19,7 @@
 
 /// A class of call as the agent needs it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassOfCall {
+pub struct CallClass {
     /// Its name.
     pub name: String,
     /// How long a caller waits that does not say.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exchange {
     /// Its id.
-    pub office: ExchangeId,
+    pub id: ExchangeId,
     /// Its number.
     pub number: ExchangeNumber,
     /// Numbers called that begin like this lead there.
@@ -45,9 +45,9 @@
 
 impl Exchange {
     /// Its line of the list.
-    pub fn line(&self) -> RosterEntry {
+    pub fn roster_entry(&self) -> RosterEntry {
         RosterEntry {
-            id: self.office,
+            id: self.id,
             zone: String::new(),
             number: self.number,
             state: ServiceState::InService,
@@ -59,13 +59,13 @@
 
 /// What the agent is told at its start.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct AgentConfig {
     /// The host part of its own addresses: where it listens, for UDP and TCP alike.
     pub addr: std::net::SocketAddr,
     /// The classes; calls that name none and are not urgent take the first.
-    pub classes: Vec<ClassOfCall>,
+    pub classes: Vec<CallClass>,
     /// The class of calls with `Priority: emergency`.
-    pub urgent: String,
+    pub urgent_class: String,
     /// The exchanges.
     pub exchanges: Vec<Exchange>,
     /// For tags, branches and ids.
@@ -74,22 +74,22 @@
 
 /// A timer of the agent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Alarm {
+pub enum AgentTimer {
     /// Of a transaction.
     Transaction(transaction::TransactionTimer),
     /// A success to a caller may have to be sent again.
-    Unacknowledged(CallId),
+    RetransmitSuccess(CallId),
 }
 
 /// What the agent wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Output {
+pub enum AgentOutput {
     /// A message leaves; the second way is for where the first has no connection.
     Send(Hop, Option<Hop>, Message),
     /// A timer is wanted.
-    Wake(Time, Alarm),
+    StartTimer(Time, AgentTimer),
     /// Something for the core.
-    Core(CallEvent),
+    CallTable(CallEvent),
 }
 
 /// The caller's side of a call.
@@ -124,7 +124,7 @@
 /// The agent.
 #[derive(Debug)]
 pub struct Agent {
-    setup: Setup,
+    setup: AgentConfig,
     rng: fastrand::Rng,
     transactions: TransactionLayer,
     near: BTreeMap<CallId, NearLeg>,
@@ -140,7 +140,7 @@
 
 impl Agent {
     /// An agent without calls.
-    pub fn new(setup: Setup) -> Self {
+    pub fn new(setup: AgentConfig) -> Self {
         Agent {
             rng: fastrand::Rng::with_seed(setup.seed),
             setup,
@@ -157,46 +157,52 @@
     }
 
     /// Its exchanges as lines of the list, and the state of their groups.
-    pub fn start(&self, out: &mut Vec<Output>) {
-        let offices = self.setup.exchanges.iter().map(Exchange::line).collect();
-        out.push(Output::Core(CallEvent::Roster { full: false, entries: offices }));
+    pub fn start(&self, out: &mut Vec<AgentOutput>) {
+        let offices = self.setup.exchanges.iter().map(Exchange::roster_entry).collect();
+        out.push(AgentOutput::CallTable(CallEvent::Roster { full: false, entries: offices }));
         for exchange in &self.setup.exchanges {
-            self.state(exchange.office, out);
+            self.state(exchange.id, out);
         }
     }
 
     /// A message has come in.
-    pub fn receive(&mut self, now: Time, from: Hop, message: Message, out: &mut Vec<Output>) {
+    pub fn receive(&mut self, now: Time, from: Hop, message: Message, out: &mut Vec<AgentOutput>) {
         let mut said = std::mem::take(&mut self.said);
         self.transactions.receive(now, from, message, &mut said);
         self.heed(now, said, out);
     }
 
     /// A timer has run down.
-    pub fn fired(&mut self, now: Time, alarm: Alarm, out: &mut Vec<Output>) {
+    pub fn on_timer(&mut self, now: Time, alarm: AgentTimer, out: &mut Vec<AgentOutput>) {
         match alarm {
-            Alarm::Transaction(alarm) => {
+            AgentTimer::Transaction(alarm) => {
                 let mut said = std::mem::take(&mut self.said);
                 self.transactions.on_timer(now, alarm, &mut said);
                 self.heed(now, said, out);
             }
-            Alarm::Unacknowledged(id) => self.unacknowledged(now, id, out),
+            AgentTimer::RetransmitSuccess(id) => self.unacknowledged(now, id, out),
         }
     }
 
     /// A connection has broken or none came up.
-    pub fn broken(&mut self, now: Time, hop: Hop, failure: TransactionFailure, out: &mut Vec<Output>) {
+    pub fn on_connection_failed(
+        &mut self,
+        now: Time,
+        hop: Hop,
+        failure: TransactionFailure,
+        out: &mut Vec<AgentOutput>,
+    ) {
         let mut said = std::mem::take(&mut self.said);
         self.transactions.on_connection_failed(now, hop, failure, &mut said);
         self.heed(now, said, out);
     }
 
-    fn heed(&mut self, now: Time, mut said: Vec<TransactionOutput>, out: &mut Vec<Output>) {
+    fn heed(&mut self, now: Time, mut said: Vec<TransactionOutput>, out: &mut Vec<AgentOutput>) {
         for one in said.drain(..) {
             match one {
-                TransactionOutput::Send(hop, alt, message) => out.push(Output::Send(hop, alt, message)),
+                TransactionOutput::Send(hop, alt, message) => out.push(AgentOutput::Send(hop, alt, message)),
                 TransactionOutput::StartTimer(at, alarm) => {
-                    out.push(Output::Wake(at, Alarm::Transaction(alarm)))
+                    out.push(AgentOutput::StartTimer(at, AgentTimer::Transaction(alarm)))
                 }
                 TransactionOutput::Request(key, hop, message) => self.on_request(now, key, hop, message, out),
                 TransactionOutput::Ack(message) => self.on_ack(now, &message, out),
@@ -210,16 +216,16 @@
     /// Runs something on the transactions and passes on what they want done.
     fn with<T>(
         &mut self,
-        out: &mut Vec<Output>,
+        out: &mut Vec<AgentOutput>,
         work: impl FnOnce(&mut TransactionLayer, &mut Vec<TransactionOutput>) -> T,
     ) -> T {
         let mut said = Vec::new();
         let result = work(&mut self.transactions, &mut said);
         for one in said {
             match one {
-                TransactionOutput::Send(hop, alt, message) => out.push(Output::Send(hop, alt, message)),
+                TransactionOutput::Send(hop, alt, message) => out.push(AgentOutput::Send(hop, alt, message)),
                 TransactionOutput::StartTimer(at, alarm) => {
-                    out.push(Output::Wake(at, Alarm::Transaction(alarm)))
+                    out.push(AgentOutput::StartTimer(at, AgentTimer::Transaction(alarm)))
                 }
                 // What we start or answer ourselves brings nothing from outside.
                 TransactionOutput::Request(..)
@@ -231,7 +237,7 @@
         result
     }
 
-    fn respond(&mut self, now: Time, key: &TransactionKey, response: Message, out: &mut Vec<Output>) {
+    fn respond(&mut self, now: Time, key: &TransactionKey, response: Message, out: &mut Vec<AgentOutput>) {
         self.with(out, |transactions, said| transactions.respond(now, key, response, said));
     }
 
@@ -257,7 +263,7 @@
         key: TransactionKey,
         hop: Hop,
         message: Message,
-        out: &mut Vec<Output>,
+        out: &mut Vec<AgentOutput>,
     ) {
         let plain = |status, reason| Message::response(status, reason, &message.headers);
         let method = message.method().unwrap_or("");
@@ -304,7 +310,7 @@
         key: TransactionKey,
         hop: Hop,
         message: Message,
-        out: &mut Vec<Output>,
+        out: &mut Vec<AgentOutput>,
     ) {
         let same = |leg: &NearLeg| {
             let tag = |m: &Message| m.get("From").and_then(header::tag).map(str::to_owned);
@@ -332,7 +338,7 @@
                 };
                 self.by_key.insert(key, id.clone());
                 self.near.insert(id, leg);
-                out.push(Output::Core(CallEvent::Request(request)));
+                out.push(AgentOutput::CallTable(CallEvent::Request(request)));
             }
             Err((status, reason)) => {
                 self.respond(now, &key, Message::response(status, reason, &message.headers), out);
@@ -349,7 +355,7 @@
         }
         let urgent = message.get("Priority").is_some_and(|p| p.trim().eq_ignore_ascii_case("emergency"));
         let first = self.setup.classes.first().map(|c| c.name.as_str());
-        let by_priority = if urgent { Some(self.setup.urgent.as_str()) } else { first };
+        let by_priority = if urgent { Some(self.setup.urgent_class.as_str()) } else { first };
         let class = message.get("X-Tier").or(by_priority).unwrap_or("");
         let known = self.setup.classes.iter().find(|c| c.name == class);
         let number_in = |name: &str| message.get(name).map(|v| v.trim().parse::<f64>());
@@ -382,7 +388,7 @@
         })
     }
 
-    fn on_cancel(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<Output>) {
+    fn on_cancel(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<AgentOutput>) {
         let invite = TransactionKey { method: "INVITE".to_owned(), ..key.clone() };
         let known = self.transactions.response_destination(&invite).is_some();
         let (status, reason) = if known { (200, "OK") } else { (481, "Call/Transaction Does Not Exist") };
@@ -396,21 +402,21 @@
                     tagged(Message::response(487, "Request Terminated", &leg.invite.headers), &leg.tag);
                 self.respond(now, &invite, gone, out);
             }
-            out.push(Output::Core(CallEvent::CallerGaveUp(id)));
+            out.push(AgentOutput::CallTable(CallEvent::CallerGaveUp(id)));
         }
     }
 
-    fn on_bye(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<Output>) {
+    fn on_bye(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<AgentOutput>) {
         let id = DialogId::of_request(message);
         let (status, reason) = if let Some(call) = self.near_dialogs.remove(&id) {
             self.forget_near(&call);
-            out.push(Output::Core(CallEvent::CallerReleased(call)));
+            out.push(AgentOutput::CallTable(CallEvent::CallerReleased(call)));
             (200, "OK")
         } else if let Some((call, leg)) = self.far_dialogs.remove(&id) {
             let whole = q850_cause(message).is_none_or(|cause| cause == 16);
             if let Some(office) = self.forget_far(&(call.clone(), leg), out) {
                 let report = LoadReport::default();
-                out.push(Output::Core(CallEvent::ExchangeReleased {
+                out.push(AgentOutput::CallTable(CallEvent::ExchangeReleased {
                     id: call,
                     exchange: office,
                     completed: whole,
@@ -424,7 +430,7 @@
         self.respond(now, key, Message::response(status, reason, &message.headers), out);
     }
 
-    fn on_ack(&mut self, now: Time, message: &Message, out: &mut Vec<Output>) {
+    fn on_ack(&mut self, now: Time, message: &Message, out: &mut Vec<AgentOutput>) {
         let Some(id) = self.near_dialogs.get(&DialogId::of_request(message)).cloned() else { return };
         let Some(leg) = self.near.get_mut(&id) else { return };
         leg.acked = true;
@@ -435,20 +441,20 @@
 
     /// A success is sent again until its ACK comes, on TCP too (RFC 3261, 13.3.1.4); without one the call is
     /// released.
-    fn unacknowledged(&mut self, now: Time, id: CallId, out: &mut Vec<Output>) {
+    fn unacknowledged(&mut self, now: Time, id: CallId, out: &mut Vec<AgentOutput>) {
         let Some(leg) = self.near.get_mut(&id) else { return };
         let (Some((success, _)), false) = (&leg.success, leg.acked) else { return };
         if now - leg.since >= TRANSACTION_TIMEOUT {
             let cause = leg.release.take();
             if cause.is_none() {
-                out.push(Output::Core(CallEvent::CallerReleased(id.clone())));
+                out.push(AgentOutput::CallTable(CallEvent::CallerReleased(id.clone())));
             }
             return self.release_near(now, &id, cause.unwrap_or(16), out);
         }
         let (hop, alt) = self.transactions.response_destination(&leg.key).unwrap_or((leg.hop, None));
-        out.push(Output::Send(hop, alt, success.clone()));
+        out.push(AgentOutput::Send(hop, alt, success.clone()));
         leg.interval = (2.0 * leg.interval).min(T2);
-        out.push(Output::Wake(now + leg.interval, Alarm::Unacknowledged(id)));
+        out.push(AgentOutput::StartTimer(now + leg.interval, AgentTimer::RetransmitSuccess(id)));
     }
 
     fn forget_near(&mut self, id: &CallId) -> Option<NearLeg> {
@@ -460,26 +466,26 @@
         Some(leg)
     }
 
-    fn release_near(&mut self, now: Time, id: &CallId, cause: u32, out: &mut Vec<Output>) {
+    fn release_near(&mut self, now: Time, id: &CallId, cause: u32, out: &mut Vec<AgentOutput>) {
         let Some((_, dialog)) = self.forget_near(id).and_then(|leg| leg.success) else { return };
         self.bye(now, dialog, cause, out);
     }
 
-    fn bye(&mut self, now: Time, mut dialog: Dialog, cause: u32, out: &mut Vec<Output>) {
+    fn bye(&mut self, now: Time, mut dialog: Dialog, cause: u32, out: &mut Vec<AgentOutput>) {
         let (hop, alt) = dialog.next_hop();
         let via = self.via(hop.transport);
-        let bye = dialog.request("BYE", &via).with("Reason", format_args!("Q.850;cause={cause}"));
+        let bye = dialog.next_request("BYE", &via).with("Reason", format_args!("Q.850;cause={cause}"));
         let mut sent = Vec::new();
         self.with(&mut sent, |transactions, said| transactions.send_request(now, hop, bye, said));
         // The first copy may take the connection that the dialog began on.
         out.extend(sent.into_iter().map(|one| match one {
-            Output::Send(hop, _, message) => Output::Send(hop, alt, message),
+            AgentOutput::Send(hop, _, message) => AgentOutput::Send(hop, alt, message),
             other => other,
         }));
     }
 
     /// The core answers a caller.
-    pub fn near(&mut self, now: Time, id: CallId, near: CallerCommand, out: &mut Vec<Output>) {
+    pub fn send_to_caller(&mut self, now: Time, id: CallId, near: CallerCommand, out: &mut Vec<AgentOutput>) {
         let Some(leg) = self.near.get_mut(&id) else { return };
         let respond =
             |status, reason| tagged(Message::response(status, reason, &leg.invite.headers), &leg.tag);
@@ -522,7 +528,7 @@
         success: Message,
         transport: Transport,
         description: &[u8],
-        out: &mut Vec<Output>,
+        out: &mut Vec<AgentOutput>,
     ) {
         let mut success = success.with("Contact", self.contact(transport)).with("Allow", ALLOW);
         if !description.is_empty() {
@@ -536,19 +542,19 @@
         leg.since = now;
         let key = leg.key.clone();
         self.respond(now, &key, success, out);
-        out.push(Output::Wake(now + T1, Alarm::Unacknowledged(id)));
+        out.push(AgentOutput::StartTimer(now + T1, AgentTimer::RetransmitSuccess(id)));
     }
 
     // ---- Exchanges -----------------------------------------------------------------------------
 
     /// The core tells an exchange.
-    pub fn far(
+    pub fn send_to_exchange(
         &mut self,
         now: Time,
         office: ExchangeId,
         id: CallId,
         far: ExchangeCommand,
-        out: &mut Vec<Output>,
+        out: &mut Vec<AgentOutput>,
     ) {
         match far {
             ExchangeCommand::SetUp(set_up) => self.set_up(now, office, id, set_up, out),
@@ -569,8 +575,15 @@
         }
     }
 
-    fn set_up(&mut self, now: Time, office: ExchangeId, id: CallId, set_up: SetUp, out: &mut Vec<Output>) {
-        let Some(hop) = self.setup.exchanges.iter().find(|e| e.office == office).map(|e| e.hop) else {
+    fn set_up(
+        &mut self,
+        now: Time,
+        office: ExchangeId,
+        id: CallId,
+        set_up: SetUp,
+        out: &mut Vec<AgentOutput>,
+    ) {
+        let Some(hop) = self.setup.exchanges.iter().find(|e| e.id == office).map(|e| e.hop) else {
             return;
         };
         let (via, contact) = (self.via(hop.transport), self.contact(hop.transport));
@@ -605,8 +618,8 @@
     }
 
     /// The state of a trunk group, as the circuits that calls take here leave it.
-    fn state(&self, office: ExchangeId, out: &mut Vec<Output>) {
-        let Some(exchange) = self.setup.exchanges.iter().find(|e| e.office == office) else { return };
+    fn state(&self, office: ExchangeId, out: &mut Vec<AgentOutput>) {
+        let Some(exchange) = self.setup.exchanges.iter().find(|e| e.id == office) else { return };
         let used = self.used.get(&office).copied().unwrap_or(0);
         let free = f64::from(exchange.circuits.saturating_sub(used));
         let report = LoadReport {
@@ -614,11 +627,11 @@
             group_size: Some(exchange.circuits.into()),
             ..LoadReport::default()
         };
-        out.push(Output::Core(CallEvent::Status { exchange: office, report }));
+        out.push(AgentOutput::CallTable(CallEvent::Status { exchange: office, report }));
     }
 
     /// Forgets an attempt and frees its circuits.
-    fn forget_far(&mut self, attempt: &Attempt, out: &mut Vec<Output>) -> Option<ExchangeId> {
+    fn forget_far(&mut self, attempt: &Attempt, out: &mut Vec<AgentOutput>) -> Option<ExchangeId> {
         let leg = self.far.remove(attempt)?;
         if let Some(key) = &leg.key {
             self.by_client.remove(key);
@@ -633,7 +646,7 @@
         Some(leg.office)
     }
 
-    fn on_response(&mut self, now: Time, key: &TransactionKey, message: Message, out: &mut Vec<Output>) {
+    fn on_response(&mut self, now: Time, key: &TransactionKey, message: Message, out: &mut Vec<AgentOutput>) {
         let status = message.status().unwrap_or(500);
         if key.method != "INVITE" {
             return;
@@ -660,7 +673,7 @@
                 };
                 if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
                     let (leg, report) = (Some(leg), LoadReport::default());
-                    out.push(Output::Core(CallEvent::SetUpFailed {
+                    out.push(AgentOutput::CallTable(CallEvent::SetUpFailed {
                         id,
                         exchange: office,
                         leg,
@@ -673,11 +686,16 @@
         }
     }
 
-    fn on_success(&mut self, now: Time, attempt: Option<Attempt>, message: Message, out: &mut Vec<Output>) {
+    fn on_success(
+        &mut self,
+        now: Time,
+        attempt: Option<Attempt>,
+        message: Message,
+        out: &mut Vec<AgentOutput>,
+    ) {
         let via_hop = message.get("Via").and_then(Via::parse).and_then(|via| Transport::parse(via.transport));
         let leg = attempt.as_ref().and_then(|attempt| self.far.get(attempt));
-        let hop =
-            leg.and_then(|leg| self.setup.exchanges.iter().find(|e| e.office == leg.office)).map(|e| e.hop);
+        let hop = leg.and_then(|leg| self.setup.exchanges.iter().find(|e| e.id == leg.office)).map(|e| e.hop);
         let contact =
             message.get("Contact").map(header::addr_spec).and_then(Uri::parse).and_then(|uri| uri.hop());
         let Some(hop) = hop.or(contact) else { return };
@@ -689,7 +707,7 @@
         if let Some(leg) = leg {
             match (&leg.dialog, &leg.ack) {
                 (Some(held), Some(ack)) if held.id == dialog.id => {
-                    out.push(Output::Send(way, alt, ack.clone()));
+                    out.push(AgentOutput::Send(way, alt, ack.clone()));
                     return;
                 }
                 _ => {}
@@ -697,7 +715,7 @@
         }
         let via = self.via(via_hop.unwrap_or(hop.transport));
         let ack = dialog.ack(&message, &via);
-        out.push(Output::Send(way, alt, ack.clone()));
+        out.push(AgentOutput::Send(way, alt, ack.clone()));
         let wanted = attempt.filter(|attempt| self.far.get(attempt).is_some_and(|leg| leg.dialog.is_none()));
         let Some(attempt) = wanted else {
             // Of a fork, or later than anybody remembers: it must not be left standing.
@@ -708,10 +726,15 @@
         (leg.dialog, leg.ack) = (Some(dialog), Some(ack));
         let (office, description) = (leg.office, Arc::from(message.body));
         let (id, leg) = attempt;
-        out.push(Output::Core(CallEvent::Answered { id, exchange: office, leg: Some(leg), description }));
+        out.push(AgentOutput::CallTable(CallEvent::Answered {
+            id,
+            exchange: office,
+            leg: Some(leg),
+            description,
+        }));
     }
 
-    fn on_failed(&mut self, key: &TransactionKey, failure: TransactionFailure, out: &mut Vec<Output>) {
+    fn on_failed(&mut self, key: &TransactionKey, failure: TransactionFailure, out: &mut Vec<AgentOutput>) {
         let Some((id, leg)) = self.by_client.get(key).cloned() else { return };
         let outcome = match failure {
             TransactionFailure::Timeout => Outcome::TimedOut,
@@ -720,7 +743,7 @@
         };
         if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
             let (leg, why, report) = (Some(leg), Cause::Unspecified, LoadReport::default());
-            out.push(Output::Core(CallEvent::SetUpFailed {
+            out.push(AgentOutput::CallTable(CallEvent::SetUpFailed {
                 id,
                 exchange: office,
                 leg,
--- a/src/sip/dialog.rs
+++ b/src/sip/dialog.rs
@@ -111,7 +111,7 @@
     }
 
     /// Our next request.
-    pub fn request(&mut self, method: &str, via: &str) -> Message {
+    pub fn next_request(&mut self, method: &str, via: &str) -> Message {
         self.local_cseq += 1;
         self.numbered(method, via, self.local_cseq)
     }
