--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -270,7 +270,7 @@
                 Err(lost) => break 'reading Over::Framing(lost),
             }
         }
-        framer.shrink();
+        framer.free_empty_buffer();
         since = framer.has_partial_message().then(|| since.unwrap_or_else(Instant::now));
     };
     let _ = mailbox.send(wrap(Heard::Over(over))).await;
--- a/src/sip/header.rs
+++ b/src/sip/header.rs
@@ -1,18 +1,18 @@
-//! The inside of the headers that transactions and dialogs rest on: Via, From and To, Contact, addresses.
+//! Parsing of the header values that transactions and dialogs depend on: Via, From, To, Contact and their URIs.
 
 use std::net::{IpAddr, SocketAddr};
 
-/// The ways a message travels.
+/// The transport protocol that carries a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Transport {
-    /// Datagrams: lost ones are sent again.
+    /// Datagrams. The transaction layer retransmits what may have been lost.
     Udp,
-    /// Connections.
+    /// A reliable byte stream.
     Tcp,
 }
 
 impl Transport {
-    /// Its name in a Via.
+    /// Returns the name used in a Via header.
     pub fn name(self) -> &'static str {
         match self {
             Transport::Udp => "UDP",
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Reads a name.
+    /// Parses a transport name, in any case.
     pub fn parse(name: &str) -> Option<Transport> {
         match name.to_ascii_lowercase().as_str() {
             "udp" => Some(Transport::Udp),
@@ -30,19 +30,19 @@
     }
 }
 
-/// Where a message goes or comes from. A TCP one names the far end of a connection.
+/// The source or the destination of a message. For TCP, the address is that of the remote end of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Hop {
-    /// How.
+    /// The transport protocol.
     pub transport: Transport,
-    /// Where.
+    /// The IP address and port.
     pub addr: SocketAddr,
 }
 
-/// The port where none is named.
+/// The default port for SIP over UDP and TCP (RFC 3261, section 19.1.2).
 pub const DEFAULT_PORT: u16 = 5060;
 
-/// The first of the values that a header may list, split where no quote or bracket is open.
+/// Returns the first value of a comma-separated header. Commas inside quotes or angle brackets do not separate values.
 pub fn first_value(value: &str) -> &str {
     let (mut quoted, mut depth) = (false, 0_u32);
     for (ix, byte) in value.bytes().enumerate() {
@@ -57,7 +57,7 @@
     value.trim()
 }
 
-/// The value of a parameter behind semicolons; empty where it has none.
+/// Returns the value of a parameter that follows a semicolon, or an empty string for a parameter without a value.
 pub fn parameter<'a>(value: &'a str, name: &str) -> Option<&'a str> {
     value.split(';').skip(1).find_map(|p| {
         let (n, v) = p.split_once('=').unwrap_or((p, ""));
@@ -65,14 +65,14 @@
     })
 }
 
-/// The tag of a From or To.
+/// Returns the tag of a From or To header value.
 pub fn tag(value: &str) -> Option<&str> {
     let after = value.rsplit_once('>').map_or(value, |(_, after)| after);
-    // Without brackets all parameters are the header's own (RFC 3261, 20).
+    // Without angle brackets, all parameters belong to the header (RFC 3261, section 20).
     parameter(after, "tag").filter(|tag| !tag.is_empty())
 }
 
-/// The address in a From, To or Contact, without its name and the header's parameters.
+/// Returns the URI of a From, To or Contact header value, without the display name and the header parameters.
 pub fn addr_spec(value: &str) -> &str {
     let value = first_value(value);
     match value.split_once('<') {
@@ -81,21 +81,21 @@
     }
 }
 
-/// The parts of a `sip:` address.
+/// The parts of a `sip:` URI (RFC 3261, section 19.1).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Uri<'a> {
-    /// Before the `@`; empty where there is none.
+    /// The user part before the `@`, empty if there is none.
     pub user: &'a str,
-    /// The host as written.
+    /// The host as written in the URI.
     pub host: &'a str,
-    /// The port, where it is named.
+    /// The port, if the URI contains one.
     pub port: Option<u16>,
-    /// The transport, where it is named.
+    /// The transport, if the URI contains a known one.
     pub transport: Option<Transport>,
 }
 
 impl<'a> Uri<'a> {
-    /// Reads an address; `None` where it is no `sip:` one.
+    /// Parses a URI. Returns `None` if it is not a valid `sip:` URI.
     pub fn parse(text: &'a str) -> Option<Uri<'a>> {
         let (scheme, rest) = text.split_once(':')?;
         if !scheme.eq_ignore_ascii_case("sip") {
@@ -104,12 +104,12 @@
         let bare = rest.split('?').next()?;
         let transport = parameter(bare, "transport").and_then(Transport::parse);
         let bare = bare.split(';').next()?;
-        let (user, place) = bare.rsplit_once('@').unwrap_or(("", bare));
-        let (host, port) = host_port(place)?;
+        let (user, host_and_port) = bare.rsplit_once('@').unwrap_or(("", bare));
+        let (host, port) = host_port(host_and_port)?;
         Some(Uri { user: user.split(':').next().unwrap_or(""), host, port, transport })
     }
 
-    /// Where it leads, if its host is a number address.
+    /// Returns the destination that the URI names, if its host is an IP address.
     pub fn hop(&self) -> Option<Hop> {
         let ip: IpAddr = self.host.trim_matches(['[', ']']).parse().ok()?;
         let addr = SocketAddr::new(ip, self.port.unwrap_or(DEFAULT_PORT));
@@ -117,6 +117,7 @@
     }
 }
 
+/// Splits a host and its optional port, with support for bracketed IPv6 addresses.
 fn host_port(text: &str) -> Option<(&str, Option<u16>)> {
     let text = text.trim();
     let colon = text.rfind(':').filter(|ix| text.rfind(']').is_none_or(|bracket| bracket < *ix));
@@ -127,21 +128,21 @@
     }
 }
 
-/// The topmost Via.
+/// The topmost Via header value (RFC 3261, section 20.42).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Via<'a> {
-    /// As said by the sender; a message may come another way.
+    /// The transport as the sender declares it; the message may have arrived over another one.
     pub transport: &'a str,
-    /// Host and port that responses are wanted at.
+    /// The sent-by value: the host and optional port at which the sender expects responses.
     pub sent_by: &'a str,
-    /// Names the transaction.
+    /// The branch parameter, which identifies the transaction.
     pub branch: Option<&'a str>,
-    /// The sender wants responses at the port its request came from (RFC 3581).
+    /// Whether the sender requests responses to the source port of its request (RFC 3581).
     pub rport: bool,
 }
 
 impl<'a> Via<'a> {
-    /// Reads the first value of a Via.
+    /// Parses the first value of a Via header.
     pub fn parse(value: &'a str) -> Option<Via<'a>> {
         let value = first_value(value);
         let rest = value.strip_prefix("SIP/2.0/")?;
@@ -152,7 +153,7 @@
         Some(Via { transport, sent_by, branch, rport })
     }
 
-    /// The port that responses are wanted at.
+    /// Returns the port at which the sender expects responses.
     pub fn port(&self) -> u16 {
         host_port(self.sent_by).and_then(|(_, port)| port).unwrap_or(DEFAULT_PORT)
     }
--- a/src/sip/message.rs
+++ b/src/sip/message.rs
@@ -1,60 +1,61 @@
-//! SIP messages: reading, writing and framing on a stream (RFC 3261, sections 7 and 18.3).
+//! SIP messages: parsing, serialization and framing on a stream (RFC 3261, sections 7 and 18.3).
 
 use thiserror::Error;
 
-/// The most bytes of one message, head and body.
+/// Largest size of a message in bytes, including its header section and its body.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// The longest body that is passed over to find the next message; a longer one is not worth its reading.
-const PASSABLE: usize = 4 * MAX_MESSAGE_BYTES;
+/// Largest body in bytes that is skipped to reach the next message; a larger one ends the stream, since it is
+/// not worth reading.
+const MAX_SKIPPED_BODY_BYTES: usize = 4 * MAX_MESSAGE_BYTES;
 
-/// The first line.
+/// The start-line of a message (RFC 3261, section 7).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
     /// A request.
     Request {
-        /// Its method.
+        /// The method, such as `INVITE`.
         method: String,
-        /// Its address.
+        /// The Request-URI.
         uri: String,
     },
     /// A response.
     Response {
-        /// Its code.
+        /// The status code.
         status: u16,
-        /// Its phrase.
+        /// The reason phrase.
         reason: String,
     },
 }
 
-/// One message.
+/// A SIP message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
+    /// The start-line.
     pub start_line: StartLine,
-    /// The headers in their order, without `Content-Length`, which the body tells.
+    /// The headers in the order received, without `Content-Length`, which follows from the body.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body, empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// A message whose bounds are known but that can't be read.
+/// A message with known bounds that cannot be parsed. The stream it arrived on stays usable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("malformed message: {problem}")]
 pub struct MalformedMessage {
-    /// What is wrong with it.
+    /// The reason why the message cannot be parsed.
     pub problem: &'static str,
-    /// What could be read of its headers, to answer by.
+    /// The headers that could be parsed, for building an error response.
     pub headers: Vec<(String, String)>,
-    /// It looks like a response, which is never answered.
+    /// Whether the message looks like a response. Responses are never answered.
     pub is_response: bool,
 }
 
-/// The bounds of the next message are unknown: the stream is of no more use.
+/// The bounds of the next message on a stream cannot be determined, so the stream must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("framing lost: {0}")]
 pub struct FramingError(pub &'static str);
 
-/// The full name of a header's compact form.
+/// Expands the compact form of a header name (RFC 3261, section 7.3.3).
 fn full_name(name: &str) -> &str {
     let [byte] = name.as_bytes() else { return name };
     match byte.to_ascii_lowercase() {
@@ -72,19 +73,19 @@
     }
 }
 
-/// The value of the first header of a name.
+/// Returns the value of the first header with the given name.
 pub fn header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
 impl Message {
-    /// A request without headers.
+    /// Creates a request without headers.
     pub fn request(method: &str, uri: &str) -> Self {
-        let start = StartLine::Request { method: method.to_owned(), uri: uri.to_owned() };
-        Message { start_line: start, headers: Vec::new(), body: Vec::new() }
+        let start_line = StartLine::Request { method: method.to_owned(), uri: uri.to_owned() };
+        Message { start_line, headers: Vec::new(), body: Vec::new() }
     }
 
-    /// A response that carries the headers that RFC 3261, 8.2.6.2 wants copied.
+    /// Creates a response with the headers copied from the request that RFC 3261, section 8.2.6.2 requires.
     pub fn response(status: u16, reason: &str, to: &[(String, String)]) -> Self {
         let copied = ["Via", "From", "To", "Call-ID", "CSeq"];
         let copy = |(n, _): &&(String, String)| copied.iter().any(|c| n.eq_ignore_ascii_case(c));
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The same with one more header. A line break in the value becomes a space.
+    /// Appends a header. A line break in the value becomes a space.
     #[must_use]
     pub fn with(mut self, name: &str, value: impl ToString) -> Self {
         let value = value.to_string().replace(['\r', '\n'], " ");
@@ -104,12 +105,12 @@
         self
     }
 
-    /// The value of the first header of a name.
+    /// Returns the value of the first header with the given name.
     pub fn get(&self, name: &str) -> Option<&str> {
         header(&self.headers, name)
     }
 
-    /// The method of a request.
+    /// Returns the method of a request, or `None` for a response.
     pub fn method(&self) -> Option<&str> {
         match &self.start_line {
             StartLine::Request { method, .. } => Some(method),
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The code of a response.
+    /// Returns the status code of a response, or `None` for a request.
     pub fn status(&self) -> Option<u16> {
         match self.start_line {
             StartLine::Request { .. } => None,
@@ -125,14 +126,14 @@
         }
     }
 
-    /// The number and the method in `CSeq`.
+    /// Returns the sequence number and the method of `CSeq`.
     pub fn cseq(&self) -> Option<(u32, &str)> {
         let mut parts = self.get("CSeq")?.split_ascii_whitespace();
         let number = parts.next()?.parse().ok()?;
         Some((number, parts.next()?))
     }
 
-    /// The message as it goes out.
+    /// Serializes the message and adds its `Content-Length`.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut head = match &self.start_line {
             StartLine::Request { method, uri } => format!("{method} {uri} SIP/2.0\r\n"),
@@ -150,32 +151,35 @@
         bytes
     }
 
-    /// Reads a datagram. A missing length means all of the rest (RFC 3261, 18.3).
+    /// Parses a datagram. Without a `Content-Length` the body extends to the end of the datagram (RFC 3261,
+    /// section 18.3).
     pub fn parse_datagram(bytes: &[u8]) -> Result<Message, MalformedMessage> {
-        let bare = |what| MalformedMessage {
-            problem: what,
+        let bare = |problem| MalformedMessage {
+            problem,
             headers: Vec::new(),
             is_response: bytes.starts_with(b"SIP/"),
         };
-        let Some((head, body)) = split(bytes) else { return Err(bare("its head has no end")) };
-        let (lines, length) = headers(head).map_err(|lost| bare(lost.0))?;
+        let Some((head, body)) = split_head(bytes) else {
+            return Err(bare("the header section does not end"));
+        };
+        let (headers, length) = parse_headers(head).map_err(|error| bare(error.0))?;
         let body = &bytes[body..];
         let length = length.unwrap_or(body.len());
         match body.get(..length) {
-            Some(body) => read(head, lines, body.to_vec()),
-            None => Err(malformed("its body is cut short", head, lines)),
+            Some(body) => parse_message(head, headers, body.to_vec()),
+            None => Err(malformed("the body is shorter than its Content-Length", head, headers)),
         }
     }
 }
 
 type Headers = Vec<(String, String)>;
 
-fn malformed(what: &'static str, head: &[u8], headers: Headers) -> MalformedMessage {
-    MalformedMessage { problem: what, headers, is_response: head.starts_with(b"SIP/") }
+fn malformed(problem: &'static str, head: &[u8], headers: Headers) -> MalformedMessage {
+    MalformedMessage { problem, headers, is_response: head.starts_with(b"SIP/") }
 }
 
-/// Where a head ends (without its empty line), and where its body begins.
-fn split(bytes: &[u8]) -> Option<(&[u8], usize)> {
+/// Returns the header section without its final empty line, and the offset of the body.
+fn split_head(bytes: &[u8]) -> Option<(&[u8], usize)> {
     bytes.iter().enumerate().filter(|(_, b)| **b == b'\n').find_map(|(ix, _)| {
         let rest = &bytes[ix + 1..];
         let blank = if rest.starts_with(b"\r\n") { 2 } else { usize::from(rest.starts_with(b"\n")) };
@@ -183,9 +187,9 @@
     })
 }
 
-/// The headers that can be read, and the length of the body. Only a length that contradicts itself or is no
-/// number loses the bounds of the message.
-fn headers(head: &[u8]) -> Result<(Headers, Option<usize>), FramingError> {
+/// Parses the headers and the `Content-Length`. Only an invalid or contradictory `Content-Length` is an error, since
+/// it leaves the bounds of the message unknown; other faults are left for [`parse_message`].
+fn parse_headers(head: &[u8]) -> Result<(Headers, Option<usize>), FramingError> {
     let text = String::from_utf8_lossy(head);
     let mut headers: Headers = Vec::new();
     let mut length = None;
@@ -197,7 +201,7 @@
             }
             continue;
         }
-        // A line without a colon is marked by an empty name, for `read` to find.
+        // A line without a colon gets an empty name, which `parse_message` rejects.
         let (name, value) = line.split_once(':').unwrap_or(("", line));
         let (name, value) = (full_name(name.trim()), value.trim());
         if !name.eq_ignore_ascii_case("Content-Length") {
@@ -205,31 +209,33 @@
             continue;
         }
         let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-        let n = value.parse().ok().filter(|_| digits).ok_or(FramingError("Content-Length is no number"))?;
+        let n =
+            value.parse().ok().filter(|_| digits).ok_or(FramingError("Content-Length is not a number"))?;
         if length.is_some_and(|old| old != n) {
-            return Err(FramingError("Content-Length is said twice"));
+            return Err(FramingError("two Content-Length headers differ"));
         }
         length = Some(n);
     }
     Ok((headers, length))
 }
 
+/// Whether the text is a token (RFC 3261, section 25.1).
 fn is_token(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-.!%*_+`'~".contains(&b))
 }
 
-/// Reads the first line and checks the headers that every message needs.
-fn read(head: &[u8], headers: Headers, body: Vec<u8>) -> Result<Message, MalformedMessage> {
-    let fault = |what| Err(malformed(what, head, headers.clone()));
-    let Ok(text) = std::str::from_utf8(head) else { return fault("its head is not UTF-8") };
+/// Parses the start-line and checks the headers that every message must have.
+fn parse_message(head: &[u8], headers: Headers, body: Vec<u8>) -> Result<Message, MalformedMessage> {
+    let error = |problem| Err(malformed(problem, head, headers.clone()));
+    let Ok(text) = std::str::from_utf8(head) else { return error("the header section is not UTF-8") };
     let line = text.lines().next().unwrap_or("");
-    let start = if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
+    let start_line = if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
         let (code, reason) = rest.split_once(' ').unwrap_or((rest, ""));
         match code.parse::<u16>() {
             Ok(status @ 100..=699) if code.len() == 3 => {
                 StartLine::Response { status, reason: reason.to_owned() }
             }
-            _ => return fault("its code is no code"),
+            _ => return error("the status code is invalid"),
         }
     } else {
         let parts: Vec<_> = line.split(' ').collect();
@@ -237,83 +243,83 @@
             [method, uri, "SIP/2.0"] if is_token(method) && !uri.is_empty() => {
                 StartLine::Request { method: method.to_owned(), uri: uri.to_owned() }
             }
-            _ => return fault("its first line is no request line"),
+            _ => return error("the request line is invalid"),
         }
     };
     if headers.iter().any(|(name, _)| !is_token(name)) {
-        return fault("a header has no name");
+        return error("a header name is missing or invalid");
     }
-    let message = Message { start_line: start, headers, body };
+    let message = Message { start_line, headers, body };
     if message.get("Call-ID").is_none_or(str::is_empty) {
-        return Err(malformed("it has no Call-ID", head, message.headers));
+        return Err(malformed("Call-ID is missing", head, message.headers));
     }
     match (message.cseq(), message.method()) {
-        (None, _) => Err(malformed("it has no CSeq", head, message.headers)),
-        (Some((_, said)), Some(method)) if said != method => {
-            Err(malformed("its CSeq names another method", head, message.headers))
+        (None, _) => Err(malformed("CSeq is missing or invalid", head, message.headers)),
+        (Some((_, cseq_method)), Some(method)) if cseq_method != method => {
+            Err(malformed("the method in CSeq differs from the request method", head, message.headers))
         }
         _ => Ok(message),
     }
 }
 
-/// Cuts a stream into messages as its bytes come in.
+/// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct Framer {
-    held: Vec<u8>,
-    /// Bytes of an overlong body that are still to be passed over.
-    skip: usize,
+    buffer: Vec<u8>,
+    /// Remaining bytes of an oversized body that are skipped as they arrive.
+    bytes_to_skip: usize,
 }
 
 impl Framer {
-    /// Takes what has come in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Frees what an empty buffer holds, for a connection that may be idle for long.
-    pub fn shrink(&mut self) {
-        if self.held.is_empty() {
-            self.held = Vec::new();
+    /// Frees the memory of an empty buffer, since a connection may stay idle for a long time.
+    pub fn free_empty_buffer(&mut self) {
+        if self.buffer.is_empty() {
+            self.buffer = Vec::new();
         }
     }
 
-    /// Whether a message has begun whose end is not in.
+    /// Whether a message has been received in part.
     pub fn has_partial_message(&self) -> bool {
-        self.skip > 0 || !self.held.is_empty()
+        self.bytes_to_skip > 0 || !self.buffer.is_empty()
     }
 
-    /// The next whole message, if it is in.
+    /// Returns the next message, or `None` until it has been received in full.
     pub fn next_message(&mut self) -> Result<Option<Result<Message, MalformedMessage>>, FramingError> {
-        let passed = self.skip.min(self.held.len());
-        self.held.drain(..passed);
-        self.skip -= passed;
-        // Line breaks between messages keep a connection alive (RFC 5626, 3.5.1).
-        let blank = self.held.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-        self.held.drain(..blank);
-        let Some((head, body)) = split(&self.held) else {
-            let long = self.held.len() > MAX_MESSAGE_BYTES;
-            return if long { Err(FramingError("a head has no end")) } else { Ok(None) };
+        let skipped = self.bytes_to_skip.min(self.buffer.len());
+        self.buffer.drain(..skipped);
+        self.bytes_to_skip -= skipped;
+        // Line breaks between messages are keep-alives (RFC 5626, section 3.5.1).
+        let keep_alive = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+        self.buffer.drain(..keep_alive);
+        let Some((head, body)) = split_head(&self.buffer) else {
+            let long = self.buffer.len() > MAX_MESSAGE_BYTES;
+            return if long { Err(FramingError("a header section does not end")) } else { Ok(None) };
         };
         if body > MAX_MESSAGE_BYTES {
-            return Err(FramingError("a head is too long"));
+            return Err(FramingError("a header section is too long"));
         }
-        let (lines, length) = headers(head)?;
+        let (headers, length) = parse_headers(head)?;
         let length = length.ok_or(FramingError("a message has no Content-Length"))?;
-        if length > PASSABLE {
-            return Err(FramingError("a body is far too long"));
+        if length > MAX_SKIPPED_BODY_BYTES {
+            return Err(FramingError("a body is too long to skip"));
         }
         if length > MAX_MESSAGE_BYTES - body {
-            // Its bounds are known: it is passed over, and the stream goes on.
-            let fault = malformed("it is too long", head, lines);
-            self.skip = length;
-            self.held.drain(..body);
-            return Ok(Some(Err(fault)));
+            // The bounds of the message are known, so its body is skipped and the stream stays usable.
+            let error = malformed("the message is too long", head, headers);
+            self.bytes_to_skip = length;
+            self.buffer.drain(..body);
+            return Ok(Some(Err(error)));
         }
-        if self.held.len() < body + length {
+        if self.buffer.len() < body + length {
             return Ok(None);
         }
-        let message = read(head, lines, self.held[body..body + length].to_vec());
-        self.held.drain(..body + length);
+        let message = parse_message(head, headers, self.buffer[body..body + length].to_vec());
+        self.buffer.drain(..body + length);
         Ok(Some(message))
     }
 }
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -1,5 +1,5 @@
-//! SIP without sockets: messages, their framing on a stream, transactions, dialogs, and the agent that stands
-//! between SIP and the core.
+//! SIP without sockets (RFC 3261): messages and their framing on a stream, transactions, dialogs, and the agent that
+//! connects them to the call table.
 
 pub mod agent;
 pub mod dialog;
@@ -10,8 +10,8 @@
 use crate::interface::{Cause, Outcome};
 use message::Message;
 
-/// What a refusal of an exchange means.
-pub(crate) fn failure_outcome(status: u16, note: Option<&str>) -> (Outcome, Cause) {
+/// Maps the failure response of an exchange, its status code and `X-Outcome` header, to the outcome of the attempt.
+pub(crate) fn failure_outcome(status: u16, x_outcome: Option<&str>) -> (Outcome, Cause) {
     let outcome = match status {
         503 => Outcome::Refused,
         480 => Outcome::NotSent,
@@ -20,7 +20,7 @@
         408 => Outcome::TimedOut,
         _ => Outcome::Error,
     };
-    let why = match note.map(str::trim) {
+    let why = match x_outcome.map(str::trim) {
         Some("no_circuit") => Cause::NoCircuit,
         Some("turned_back") => Cause::Crankback,
         Some("far_overload") => Cause::FarProcessorFull,
@@ -31,7 +31,7 @@
     (outcome, why)
 }
 
-/// The cause in `Reason: Q.850;cause=N`.
+/// Returns the cause N of a `Reason: Q.850;cause=N` header (RFC 3326).
 pub(crate) fn q850_cause(message: &Message) -> Option<u32> {
     let parts = message.get("Reason")?.split(';');
     let mut causes = parts.filter_map(|p| p.trim().strip_prefix("cause=")?.trim().parse().ok());
--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -82,38 +82,38 @@
 }
 
 #[derive(Debug)]
-struct Server {
+struct ServerTransaction {
     hop: Hop,
-    alt: Option<Hop>,
+    fallback: Option<Hop>,
     state: State,
-    last: Option<Message>,
-    interval: Secs,
-    resend_at: Option<Time>,
-    ends_at: Option<Time>,
+    last_response: Option<Message>,
+    retransmit_interval: Secs,
+    retransmit_at: Option<Time>,
+    terminate_at: Option<Time>,
 }
 
 #[derive(Debug)]
-struct Client {
+struct ClientTransaction {
     hop: Hop,
     state: State,
     /// A provisional response has come.
-    heard: bool,
+    provisional_received: bool,
     /// Nobody waits for it any more: it is called off as soon as that is allowed.
-    called_off: bool,
+    cancelled: bool,
     /// Its end was told already.
-    told: bool,
+    outcome_reported: bool,
     request: Message,
     ack: Option<Message>,
-    interval: Secs,
-    resend_at: Option<Time>,
-    ends_at: Option<Time>,
+    retransmit_interval: Secs,
+    retransmit_at: Option<Time>,
+    terminate_at: Option<Time>,
 }
 
 /// All transactions of one agent.
 #[derive(Debug, Default)]
 pub struct TransactionLayer {
-    server: BTreeMap<TransactionKey, Server>,
-    client: BTreeMap<TransactionKey, Client>,
+    servers: BTreeMap<TransactionKey, ServerTransaction>,
+    clients: BTreeMap<TransactionKey, ClientTransaction>,
 }
 
 fn is_due(at: Option<Time>, now: Time) -> bool {
@@ -138,7 +138,7 @@
 }
 
 /// Marks where a request came from (RFC 3261, 18.2.1; RFC 3581) and tells where its responses go.
-fn mark(request: &mut Message, from: Hop) -> Option<(Hop, Option<Hop>)> {
+fn mark_source(request: &mut Message, from: Hop) -> Option<(Hop, Option<Hop>)> {
     let (_, value) = request.headers.iter_mut().find(|(name, _)| name.eq_ignore_ascii_case("Via"))?;
     let top = header::first_value(value).to_owned();
     let rest = value[top.len()..].trim().to_owned();
@@ -161,7 +161,7 @@
 impl TransactionLayer {
     /// Transactions that are held.
     pub fn len(&self) -> usize {
-        self.server.len() + self.client.len()
+        self.servers.len() + self.clients.len()
     }
 
     /// No transaction is held.
@@ -174,7 +174,7 @@
         if message.status().is_some() {
             return self.on_response(now, message, out);
         }
-        let (Some(key), Some((hop, alt))) = (server_key(&message), mark(&mut message, from)) else {
+        let (Some(key), Some((hop, alt))) = (server_key(&message), mark_source(&mut message, from)) else {
             // Without a Via there is no way back but the one it came.
             if message.method() != Some("ACK") {
                 let refusal = Message::response(400, "Bad Request", &message.headers);
@@ -184,13 +184,13 @@
         };
         let is_ack = message.method() == Some("ACK");
         let full = self.len() >= MAX_TRANSACTIONS;
-        match self.server.get_mut(&key) {
+        match self.servers.get_mut(&key) {
             Some(server) if is_ack => {
                 if server.state == State::Completed {
                     server.state = State::Confirmed;
-                    server.resend_at = None;
+                    server.retransmit_at = None;
                     let end = now + T4;
-                    server.ends_at = Some(end);
+                    server.terminate_at = Some(end);
                     out.push(TransactionOutput::StartTimer(end, TransactionTimer::Server(key)));
                 } else if server.state == State::Accepted {
                     out.push(TransactionOutput::Ack(message));
@@ -199,9 +199,11 @@
             None if is_ack => out.push(TransactionOutput::Ack(message)),
             Some(server) => {
                 // Repeated, maybe another way: what was said last goes the new way.
-                (server.hop, server.alt) = (hop, alt);
+                (server.hop, server.fallback) = (hop, alt);
                 if matches!(server.state, State::Proceeding | State::Completed) {
-                    out.extend(server.last.clone().map(|last| TransactionOutput::Send(hop, alt, last)));
+                    out.extend(
+                        server.last_response.clone().map(|last| TransactionOutput::Send(hop, alt, last)),
+                    );
                 }
             }
             None if full => {
@@ -213,8 +215,16 @@
             }
             None => {
                 let (last, state) = (None, State::Proceeding);
-                let server = Server { hop, alt, state, last, interval: T1, resend_at: None, ends_at: None };
-                self.server.insert(key.clone(), server);
+                let server = ServerTransaction {
+                    hop,
+                    fallback: alt,
+                    state,
+                    last_response: last,
+                    retransmit_interval: T1,
+                    retransmit_at: None,
+                    terminate_at: None,
+                };
+                self.servers.insert(key.clone(), server);
                 if key.method == "INVITE" {
                     let trying = Message::response(100, "Trying", &message.headers);
                     self.respond(now, &key, trying, out);
@@ -226,12 +236,12 @@
 
     /// Whether a server transaction still waits for its final response.
     pub fn awaits_final_response(&self, key: &TransactionKey) -> bool {
-        self.server.get(key).is_some_and(|s| s.state == State::Proceeding)
+        self.servers.get(key).is_some_and(|s| s.state == State::Proceeding)
     }
 
     /// Where the responses of a server transaction go.
     pub fn response_destination(&self, key: &TransactionKey) -> Option<(Hop, Option<Hop>)> {
-        self.server.get(key).map(|s| (s.hop, s.alt))
+        self.servers.get(key).map(|s| (s.hop, s.fallback))
     }
 
     /// Answers a request. A second final response is not sent.
@@ -242,18 +252,18 @@
         response: Message,
         out: &mut Vec<TransactionOutput>,
     ) {
-        let Some(server) = self.server.get_mut(key) else { return };
+        let Some(server) = self.servers.get_mut(key) else { return };
         let status = response.status().unwrap_or(500);
         if server.state != State::Proceeding {
             return;
         }
-        out.push(TransactionOutput::Send(server.hop, server.alt, response.clone()));
-        server.last = Some(response);
+        out.push(TransactionOutput::Send(server.hop, server.fallback, response.clone()));
+        server.last_response = Some(response);
         if status < 200 {
             return;
         }
         let end = now + TRANSACTION_TIMEOUT;
-        server.ends_at = Some(end);
+        server.terminate_at = Some(end);
         out.push(TransactionOutput::StartTimer(end, TransactionTimer::Server(key.clone())));
         if key.method == "INVITE" && status < 300 {
             server.state = State::Accepted;
@@ -261,8 +271,8 @@
         }
         server.state = State::Completed;
         if key.method == "INVITE" && server.hop.transport == Transport::Udp {
-            let at = now + server.interval;
-            server.resend_at = Some(at);
+            let at = now + server.retransmit_interval;
+            server.retransmit_at = Some(at);
             out.push(TransactionOutput::StartTimer(at, TransactionTimer::Server(key.clone())));
         }
     }
@@ -283,82 +293,82 @@
             out.push(TransactionOutput::StartTimer(now + T1, TransactionTimer::Client(key.clone())));
         }
         out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
-        let client = Client {
+        let client = ClientTransaction {
             hop,
             state: State::Proceeding,
-            heard: false,
-            called_off: false,
-            told: false,
+            provisional_received: false,
+            cancelled: false,
+            outcome_reported: false,
             request,
             ack: None,
-            interval: T1,
-            resend_at,
-            ends_at: Some(end),
+            retransmit_interval: T1,
+            retransmit_at: resend_at,
+            terminate_at: Some(end),
         };
-        self.client.insert(key.clone(), client);
+        self.clients.insert(key.clone(), client);
         Some(key)
     }
 
     /// Calls an INVITE off: at once if anything was heard, else as soon as something is (RFC 3261, 9.1). It
     /// is not sent again meanwhile, and stays for the answer that may cross.
     pub fn cancel_invite(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
-        let Some(client) = self.client.get_mut(key) else { return };
-        if client.state != State::Proceeding || std::mem::replace(&mut client.called_off, true) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        if client.state != State::Proceeding || std::mem::replace(&mut client.cancelled, true) {
             return;
         }
-        client.resend_at = None;
+        client.retransmit_at = None;
         let end = now + TRANSACTION_TIMEOUT;
-        client.ends_at = Some(end);
+        client.terminate_at = Some(end);
         out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
-        if client.heard {
-            self.cancel(now, key, out);
+        if client.provisional_received {
+            self.send_cancel(now, key, out);
         }
     }
 
-    fn cancel(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
-        let Some(client) = self.client.get(key) else { return };
+    fn send_cancel(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
+        let Some(client) = self.clients.get(key) else { return };
         let hop = client.hop;
-        let cancel = follow_up(&client.request, "CANCEL", client.request.get("To"));
+        let cancel = request_like_invite(&client.request, "CANCEL", client.request.get("To"));
         self.send_request(now, hop, cancel, out);
     }
 
     fn on_response(&mut self, now: Time, message: Message, out: &mut Vec<TransactionOutput>) {
         let (Some(key), Some(status)) = (client_key(&message), message.status()) else { return };
-        let Some(client) = self.client.get_mut(&key) else { return };
+        let Some(client) = self.clients.get_mut(&key) else { return };
         let invite = key.method == "INVITE";
         match (client.state, status) {
             (State::Proceeding, 100..=199) => {
-                let first = !std::mem::replace(&mut client.heard, true);
+                let first = !std::mem::replace(&mut client.provisional_received, true);
                 if invite {
-                    client.resend_at = None;
-                    if !client.called_off {
+                    client.retransmit_at = None;
+                    if !client.cancelled {
                         // How long it may ring is the core's to say.
-                        client.ends_at = None;
+                        client.terminate_at = None;
                     }
                 } else {
-                    client.interval = T2;
+                    client.retransmit_interval = T2;
                 }
-                if client.called_off {
-                    if first && !client.told {
-                        self.cancel(now, &key, out);
+                if client.cancelled {
+                    if first && !client.outcome_reported {
+                        self.send_cancel(now, &key, out);
                     }
                     return;
                 }
                 out.push(TransactionOutput::Response(key, message));
             }
             (State::Proceeding, _) => {
-                client.resend_at = None;
+                client.retransmit_at = None;
                 let success = invite && status < 300;
                 client.state = if success { State::Accepted } else { State::Completed };
                 let end = now + if invite { TRANSACTION_TIMEOUT } else { T4 };
-                client.ends_at = Some(end);
+                client.terminate_at = Some(end);
                 out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
                 if invite && !success {
-                    let ack = follow_up(&client.request, "ACK", message.get("To"));
+                    let ack = request_like_invite(&client.request, "ACK", message.get("To"));
                     out.push(TransactionOutput::Send(client.hop, None, ack.clone()));
                     client.ack = Some(ack);
                 }
-                if success || !std::mem::replace(&mut client.told, true) {
+                if success || !std::mem::replace(&mut client.outcome_reported, true) {
                     out.push(TransactionOutput::Response(key, message));
                 }
             }
@@ -374,35 +384,38 @@
     pub fn on_timer(&mut self, now: Time, alarm: TransactionTimer, out: &mut Vec<TransactionOutput>) {
         match alarm {
             TransactionTimer::Server(key) => {
-                let Some(server) = self.server.get_mut(&key) else { return };
-                if is_due(server.ends_at, now) {
-                    self.server.remove(&key);
-                } else if is_due(server.resend_at, now) {
+                let Some(server) = self.servers.get_mut(&key) else { return };
+                if is_due(server.terminate_at, now) {
+                    self.servers.remove(&key);
+                } else if is_due(server.retransmit_at, now) {
                     out.extend(
-                        server.last.clone().map(|last| TransactionOutput::Send(server.hop, server.alt, last)),
+                        server
+                            .last_response
+                            .clone()
+                            .map(|last| TransactionOutput::Send(server.hop, server.fallback, last)),
                     );
-                    server.interval = (2.0 * server.interval).min(T2);
-                    let at = now + server.interval;
-                    server.resend_at = Some(at);
+                    server.retransmit_interval = (2.0 * server.retransmit_interval).min(T2);
+                    let at = now + server.retransmit_interval;
+                    server.retransmit_at = Some(at);
                     out.push(TransactionOutput::StartTimer(at, TransactionTimer::Server(key)));
                 }
             }
             TransactionTimer::Client(key) => {
-                let Some(client) = self.client.get_mut(&key) else { return };
-                if is_due(client.ends_at, now) {
-                    let told = client.told || client.state != State::Proceeding;
-                    self.client.remove(&key);
+                let Some(client) = self.clients.get_mut(&key) else { return };
+                if is_due(client.terminate_at, now) {
+                    let told = client.outcome_reported || client.state != State::Proceeding;
+                    self.clients.remove(&key);
                     if !told {
                         out.push(TransactionOutput::Failed(key, TransactionFailure::Timeout));
                     }
-                } else if is_due(client.resend_at, now) {
+                } else if is_due(client.retransmit_at, now) {
                     out.push(TransactionOutput::Send(client.hop, None, client.request.clone()));
-                    client.interval *= 2.0;
+                    client.retransmit_interval *= 2.0;
                     if key.method != "INVITE" {
-                        client.interval = client.interval.min(T2);
+                        client.retransmit_interval = client.retransmit_interval.min(T2);
                     }
-                    let at = now + client.interval;
-                    client.resend_at = Some(at);
+                    let at = now + client.retransmit_interval;
+                    client.retransmit_at = Some(at);
                     out.push(TransactionOutput::StartTimer(at, TransactionTimer::Client(key)));
                 }
             }
@@ -418,17 +431,17 @@
         failure: TransactionFailure,
         out: &mut Vec<TransactionOutput>,
     ) {
-        for (key, client) in &mut self.client {
+        for (key, client) in &mut self.clients {
             if client.hop != hop || client.state != State::Proceeding {
                 continue;
             }
             // It stays for an answer that may still come.
-            client.called_off = true;
-            client.resend_at = None;
+            client.cancelled = true;
+            client.retransmit_at = None;
             let end = now + TRANSACTION_TIMEOUT;
-            client.ends_at = Some(end);
+            client.terminate_at = Some(end);
             out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
-            if !std::mem::replace(&mut client.told, true) {
+            if !std::mem::replace(&mut client.outcome_reported, true) {
                 out.push(TransactionOutput::Failed(key.clone(), failure));
             }
         }
@@ -443,7 +456,7 @@
 }
 
 /// The CANCEL of an INVITE, or the ACK of its refusal (RFC 3261, 9.1 and 17.1.1.3).
-fn follow_up(invite: &Message, method: &str, to: Option<&str>) -> Message {
+fn request_like_invite(invite: &Message, method: &str, to: Option<&str>) -> Message {
     let uri = match &invite.start_line {
         super::message::StartLine::Request { uri, .. } => uri,
         super::message::StartLine::Response { .. } => "",
