--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -1,8 +1,8 @@
-//! Transactions (RFC 3261, 17, and RFC 6026) without sockets or clock: one core for client and server, for
-//! UDP and TCP. The transport only decides whether messages are sent again.
+//! The transaction layer (RFC 3261, section 17, and RFC 6026) for clients and servers, without sockets or clock. The
+//! same state machines serve UDP and TCP; the transport only decides whether messages are retransmitted.
 //!
-//! A transaction is known by its branch, not by the way it travels, and it lingers on TCP as long as on UDP:
-//! what is repeated over UDP after a TCP reset finds its transaction and is not taken for a new call.
+//! A transaction is identified by its branch and not by its transport. It is kept on TCP for as long as on UDP, so that
+//! a request repeated over UDP after a TCP reset matches its transaction and does not set up a second call.
 
 use std::collections::BTreeMap;
 
@@ -10,74 +10,76 @@
 use super::message::Message;
 use crate::interface::{Secs, Time};
 
-/// An estimate of a round trip, and the base of all timers.
+/// Round-trip time estimate in seconds, the base of all timers (RFC 3261, section 17.1.1.1).
 pub const T1: Secs = 0.5;
-/// The longest gap between repeats.
+/// Longest retransmission interval in seconds for non-INVITE requests and for responses to INVITE.
 pub const T2: Secs = 4.0;
-/// How long a message may live in the network.
+/// Longest time in seconds that a message stays in the network.
 pub const T4: Secs = 5.0;
-/// Timers B, D, F, H, J, L and M.
+/// Duration in seconds of timers B, D, F, H, J, L and M (RFC 3261, appendix A, and RFC 6026).
 pub const TRANSACTION_TIMEOUT: Secs = 64.0 * T1;
-/// Transactions of one agent at most; a request beyond is answered with 503 and forgotten.
+/// Maximum number of transactions. At this limit a new request is answered with 503 and creates no transaction.
 pub const MAX_TRANSACTIONS: usize = 20_000;
 
-/// The name of a transaction: its branch, who sent it, its method. An ACK bears its INVITE's.
+/// The identifier of a transaction (RFC 3261, sections 17.1.3 and 17.2.3). An ACK has the key of its INVITE.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TransactionKey {
-    /// The branch, or what stood for it before RFC 3261.
+    /// The branch, or for a request of RFC 2543 a value built from its headers.
     pub branch: String,
-    /// The sender; empty for a client's own.
+    /// The sent-by value of the topmost Via; empty for a client transaction.
     pub sent_by: String,
-    /// The method.
+    /// The method of the request that created the transaction.
     pub method: String,
 }
 
-/// A timer of this layer.
+/// Identifies a timer of the transaction layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionTimer {
-    /// Of a server transaction.
+    /// A timer of a server transaction.
     Server(TransactionKey),
-    /// Of a client transaction.
+    /// A timer of a client transaction.
     Client(TransactionKey),
 }
 
 /// Why a client transaction failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionFailure {
-    /// No answer came in time.
+    /// No final response arrived in time.
     Timeout,
-    /// No connection came up: nothing was sent.
+    /// No connection could be made, so nothing was sent.
     Unreachable,
-    /// Its connection broke.
+    /// The connection was lost.
     ConnectionLost,
 }
 
-/// What this layer wants done or tells.
+/// An action or event that the transaction layer hands to the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransactionOutput {
-    /// A message leaves. Where its connection has gone, the second way is to be taken.
+    /// Send a message to the first hop, or to the second one if the connection to the first is gone.
     Send(Hop, Option<Hop>, Message),
-    /// A timer is wanted.
+    /// Start a timer that expires at the given time.
     StartTimer(Time, TransactionTimer),
-    /// A new request has come in.
+    /// A new request was received. Its responses go to the given hop.
     Request(TransactionKey, Hop, Message),
-    /// An ACK to a success has come in.
+    /// An ACK for a 2xx response was received.
     Ack(Message),
-    /// A response has come in; a success may come several times.
+    /// A response was received. A 2xx response to INVITE is reported each time it arrives.
     Response(TransactionKey, Message),
-    /// No response comes any more.
+    /// A client transaction failed without a final response.
     Failed(TransactionKey, TransactionFailure),
 }
 
+/// The state of a transaction. `Proceeding` includes the states Calling and Trying of RFC 3261.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// No final response yet.
+    /// No final response was sent or received.
     Proceeding,
-    /// A final response that is no success to an INVITE: repeats are answered with it.
+    /// The final response was sent or received, and is not a 2xx response to INVITE. A server answers a repeated
+    /// request with it.
     Completed,
-    /// The ACK has come.
+    /// The ACK of a final response other than 2xx was received.
     Confirmed,
-    /// A success to an INVITE (RFC 6026).
+    /// A 2xx response to INVITE was sent or received (RFC 6026).
     Accepted,
 }
 
@@ -96,11 +98,11 @@
 struct ClientTransaction {
     hop: Hop,
     state: State,
-    /// A provisional response has come.
+    /// Whether a provisional response was received.
     provisional_received: bool,
-    /// Nobody waits for it any more: it is called off as soon as that is allowed.
+    /// Whether the outcome is no longer needed. An INVITE is then cancelled as soon as RFC 3261, section 9.1 allows.
     cancelled: bool,
-    /// Its end was told already.
+    /// Whether the final outcome was reported to the agent.
     outcome_reported: bool,
     request: Message,
     ack: Option<Message>,
@@ -109,81 +111,90 @@
     terminate_at: Option<Time>,
 }
 
-/// All transactions of one agent.
+/// The transactions of one agent.
 #[derive(Debug, Default)]
 pub struct TransactionLayer {
     servers: BTreeMap<TransactionKey, ServerTransaction>,
     clients: BTreeMap<TransactionKey, ClientTransaction>,
 }
 
+/// Whether a timer is due. The tolerance of one microsecond covers rounding errors of floating-point times.
 fn is_due(at: Option<Time>, now: Time) -> bool {
     at.is_some_and(|at| now.0 >= at.0 - 1e-6)
 }
 
-/// The key of a request as its server sees it.
+/// Returns the key under which a server transaction handles a request.
 fn server_key(request: &Message) -> Option<TransactionKey> {
-    let top = header::first_value(request.get("Via")?);
-    let via = Via::parse(top)?;
+    let top_via = header::first_value(request.get("Via")?);
+    let via = Via::parse(top_via)?;
     let (number, method) = request.cseq()?;
     let method = if method == "ACK" { "INVITE" } else { method }.to_owned();
     let branch = match via.branch {
         Some(branch) if branch.starts_with("z9hG4bK") => branch.to_owned(),
-        // RFC 2543 had no such branches (RFC 3261, 17.2.3).
+        // A client of RFC 2543 sends no such branch (RFC 3261, section 17.2.3).
         _ => {
             let from = request.get("From").and_then(header::tag).unwrap_or("");
-            format!("{}|{number}|{from}|{top}", request.get("Call-ID")?)
+            format!("{}|{number}|{from}|{top_via}", request.get("Call-ID")?)
         }
     };
     Some(TransactionKey { branch, sent_by: via.sent_by.to_ascii_lowercase(), method })
 }
 
-/// Marks where a request came from (RFC 3261, 18.2.1; RFC 3581) and tells where its responses go.
-fn mark_source(request: &mut Message, from: Hop) -> Option<(Hop, Option<Hop>)> {
+/// Adds the source address to the topmost Via of a request (RFC 3261, section 18.2.1, and RFC 3581). Returns the hop
+/// for its responses, and for TCP the fallback hop (RFC 3261, section 18.2.2).
+fn mark_source(request: &mut Message, source: Hop) -> Option<(Hop, Option<Hop>)> {
     let (_, value) = request.headers.iter_mut().find(|(name, _)| name.eq_ignore_ascii_case("Via"))?;
-    let top = header::first_value(value).to_owned();
-    let rest = value[top.len()..].trim().to_owned();
-    let via = Via::parse(&top)?;
-    let wanted = Hop { transport: from.transport, addr: (from.addr.ip(), via.port()).into() };
-    let hop = match from.transport {
-        Transport::Udp if !via.rport => wanted,
-        _ => from,
+    let top_via = header::first_value(value).to_owned();
+    let rest = value[top_via.len()..].trim().to_owned();
+    let via = Via::parse(&top_via)?;
+    let sent_by_hop = Hop { transport: source.transport, addr: (source.addr.ip(), via.port()).into() };
+    let hop = match source.transport {
+        Transport::Udp if !via.rport => sent_by_hop,
+        _ => source,
     };
-    let mut marked: Vec<String> = top.split(';').map(|p| p.trim().to_owned()).collect();
-    marked.retain(|p| !p.starts_with("received=") && !p.starts_with("rport"));
-    marked.push(format!("received={}", from.addr.ip()));
+    let mut parameters: Vec<String> = top_via.split(';').map(|p| p.trim().to_owned()).collect();
+    parameters.retain(|p| !p.starts_with("received=") && !p.starts_with("rport"));
+    parameters.push(format!("received={}", source.addr.ip()));
     if via.rport {
-        marked.push(format!("rport={}", from.addr.port()));
+        parameters.push(format!("rport={}", source.addr.port()));
     }
-    *value = marked.join(";") + &rest;
-    Some((hop, (from.transport == Transport::Tcp).then_some(wanted)))
+    *value = parameters.join(";") + &rest;
+    Some((hop, (source.transport == Transport::Tcp).then_some(sent_by_hop)))
 }
 
 impl TransactionLayer {
-    /// Transactions that are held.
+    /// Returns the number of transactions.
     pub fn len(&self) -> usize {
         self.servers.len() + self.clients.len()
     }
 
-    /// No transaction is held.
+    /// Whether there are no transactions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes a message that came in.
-    pub fn receive(&mut self, now: Time, from: Hop, mut message: Message, out: &mut Vec<TransactionOutput>) {
+    /// Handles a received message.
+    pub fn receive(
+        &mut self,
+        now: Time,
+        source: Hop,
+        mut message: Message,
+        out: &mut Vec<TransactionOutput>,
+    ) {
         if message.status().is_some() {
             return self.on_response(now, message, out);
         }
-        let (Some(key), Some((hop, alt))) = (server_key(&message), mark_source(&mut message, from)) else {
-            // Without a Via there is no way back but the one it came.
+        let (Some(key), Some((hop, fallback))) = (server_key(&message), mark_source(&mut message, source))
+        else {
+            // Without a valid Via the response can only go to the source of the request.
             if message.method() != Some("ACK") {
-                let refusal = Message::response(400, "Bad Request", &message.headers);
-                out.push(TransactionOutput::Send(from, None, refusal));
+                let bad_request = Message::response(400, "Bad Request", &message.headers);
+                out.push(TransactionOutput::Send(source, None, bad_request));
             }
             return;
         };
         let is_ack = message.method() == Some("ACK");
-        let full = self.len() >= MAX_TRANSACTIONS;
+        let at_capacity = self.len() >= MAX_TRANSACTIONS;
         match self.servers.get_mut(&key) {
             Some(server) if is_ack => {
                 if server.state == State::Completed {
@@ -198,28 +209,31 @@
             }
             None if is_ack => out.push(TransactionOutput::Ack(message)),
             Some(server) => {
-                // Repeated, maybe another way: what was said last goes the new way.
-                (server.hop, server.fallback) = (hop, alt);
+                // A retransmission may arrive over another transport: the last response goes back over that one.
+                (server.hop, server.fallback) = (hop, fallback);
                 if matches!(server.state, State::Proceeding | State::Completed) {
                     out.extend(
-                        server.last_response.clone().map(|last| TransactionOutput::Send(hop, alt, last)),
+                        server
+                            .last_response
+                            .clone()
+                            .map(|last_response| TransactionOutput::Send(hop, fallback, last_response)),
                     );
                 }
             }
-            None if full => {
+            None if at_capacity => {
                 out.push(TransactionOutput::Send(
                     hop,
-                    alt,
+                    fallback,
                     Message::response(503, "Service Unavailable", &message.headers),
                 ));
             }
             None => {
-                let (last, state) = (None, State::Proceeding);
+                let (last_response, state) = (None, State::Proceeding);
                 let server = ServerTransaction {
                     hop,
-                    fallback: alt,
+                    fallback,
                     state,
-                    last_response: last,
+                    last_response,
                     retransmit_interval: T1,
                     retransmit_at: None,
                     terminate_at: None,
@@ -234,17 +248,17 @@
         }
     }
 
-    /// Whether a server transaction still waits for its final response.
+    /// Whether a server transaction has not sent its final response.
     pub fn awaits_final_response(&self, key: &TransactionKey) -> bool {
         self.servers.get(key).is_some_and(|s| s.state == State::Proceeding)
     }
 
-    /// Where the responses of a server transaction go.
+    /// Returns the hop and the fallback hop for the responses of a server transaction.
     pub fn response_destination(&self, key: &TransactionKey) -> Option<(Hop, Option<Hop>)> {
         self.servers.get(key).map(|s| (s.hop, s.fallback))
     }
 
-    /// Answers a request. A second final response is not sent.
+    /// Sends a response to a request. After a final response, further responses are dropped.
     pub fn respond(
         &mut self,
         now: Time,
@@ -277,7 +291,7 @@
         }
     }
 
-    /// Sends a request whose topmost Via bears a fresh branch.
+    /// Sends a request and creates its client transaction. The topmost Via must have a new branch.
     pub fn send_request(
         &mut self,
         now: Time,
@@ -287,9 +301,9 @@
     ) -> Option<TransactionKey> {
         let key = client_key(&request)?;
         out.push(TransactionOutput::Send(hop, None, request.clone()));
-        let (end, mut resend_at) = (now + TRANSACTION_TIMEOUT, None);
+        let (end, mut retransmit_at) = (now + TRANSACTION_TIMEOUT, None);
         if hop.transport == Transport::Udp {
-            resend_at = Some(now + T1);
+            retransmit_at = Some(now + T1);
             out.push(TransactionOutput::StartTimer(now + T1, TransactionTimer::Client(key.clone())));
         }
         out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
@@ -302,15 +316,16 @@
             request,
             ack: None,
             retransmit_interval: T1,
-            retransmit_at: resend_at,
+            retransmit_at,
             terminate_at: Some(end),
         };
         self.clients.insert(key.clone(), client);
         Some(key)
     }
 
-    /// Calls an INVITE off: at once if anything was heard, else as soon as something is (RFC 3261, 9.1). It
-    /// is not sent again meanwhile, and stays for the answer that may cross.
+    /// Cancels an INVITE: at once if a provisional response was received, else when the first one arrives (RFC 3261,
+    /// section 9.1). The INVITE is not retransmitted any more. Its transaction is kept for a final response that
+    /// crosses the CANCEL.
     pub fn cancel_invite(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.state != State::Proceeding || std::mem::replace(&mut client.cancelled, true) {
@@ -335,14 +350,14 @@
     fn on_response(&mut self, now: Time, message: Message, out: &mut Vec<TransactionOutput>) {
         let (Some(key), Some(status)) = (client_key(&message), message.status()) else { return };
         let Some(client) = self.clients.get_mut(&key) else { return };
-        let invite = key.method == "INVITE";
+        let is_invite = key.method == "INVITE";
         match (client.state, status) {
             (State::Proceeding, 100..=199) => {
                 let first = !std::mem::replace(&mut client.provisional_received, true);
-                if invite {
+                if is_invite {
                     client.retransmit_at = None;
                     if !client.cancelled {
-                        // How long it may ring is the core's to say.
+                        // The call table limits how long the exchange may ring.
                         client.terminate_at = None;
                     }
                 } else {
@@ -358,12 +373,12 @@
             }
             (State::Proceeding, _) => {
                 client.retransmit_at = None;
-                let success = invite && status < 300;
+                let success = is_invite && status < 300;
                 client.state = if success { State::Accepted } else { State::Completed };
-                let end = now + if invite { TRANSACTION_TIMEOUT } else { T4 };
+                let end = now + if is_invite { TRANSACTION_TIMEOUT } else { T4 };
                 client.terminate_at = Some(end);
                 out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
-                if invite && !success {
+                if is_invite && !success {
                     let ack = request_like_invite(&client.request, "ACK", message.get("To"));
                     out.push(TransactionOutput::Send(client.hop, None, ack.clone()));
                     client.ack = Some(ack);
@@ -380,20 +395,17 @@
         }
     }
 
-    /// A timer has run down; one that is no longer wanted moves nothing.
-    pub fn on_timer(&mut self, now: Time, alarm: TransactionTimer, out: &mut Vec<TransactionOutput>) {
-        match alarm {
+    /// Handles an expired timer. A timer that was superseded has no effect.
+    pub fn on_timer(&mut self, now: Time, timer: TransactionTimer, out: &mut Vec<TransactionOutput>) {
+        match timer {
             TransactionTimer::Server(key) => {
                 let Some(server) = self.servers.get_mut(&key) else { return };
                 if is_due(server.terminate_at, now) {
                     self.servers.remove(&key);
                 } else if is_due(server.retransmit_at, now) {
-                    out.extend(
-                        server
-                            .last_response
-                            .clone()
-                            .map(|last| TransactionOutput::Send(server.hop, server.fallback, last)),
-                    );
+                    out.extend(server.last_response.clone().map(|last_response| {
+                        TransactionOutput::Send(server.hop, server.fallback, last_response)
+                    }));
                     server.retransmit_interval = (2.0 * server.retransmit_interval).min(T2);
                     let at = now + server.retransmit_interval;
                     server.retransmit_at = Some(at);
@@ -403,9 +415,9 @@
             TransactionTimer::Client(key) => {
                 let Some(client) = self.clients.get_mut(&key) else { return };
                 if is_due(client.terminate_at, now) {
-                    let told = client.outcome_reported || client.state != State::Proceeding;
+                    let outcome_reported = client.outcome_reported || client.state != State::Proceeding;
                     self.clients.remove(&key);
-                    if !told {
+                    if !outcome_reported {
                         out.push(TransactionOutput::Failed(key, TransactionFailure::Timeout));
                     }
                 } else if is_due(client.retransmit_at, now) {
@@ -422,8 +434,8 @@
         }
     }
 
-    /// A connection has broken, or none came up. What waits there has failed; what a server owes does not
-    /// depend on its connection and goes another way.
+    /// Handles a connection that was lost or could not be made: client transactions waiting on it fail. Server
+    /// transactions do not depend on their connection, because their responses can take another one.
     pub fn on_connection_failed(
         &mut self,
         now: Time,
@@ -435,7 +447,7 @@
             if client.hop != hop || client.state != State::Proceeding {
                 continue;
             }
-            // It stays for an answer that may still come.
+            // The transaction is kept for a final response that may still arrive.
             client.cancelled = true;
             client.retransmit_at = None;
             let end = now + TRANSACTION_TIMEOUT;
@@ -448,14 +460,15 @@
     }
 }
 
-/// The key of a request or response as its client sees it.
+/// Returns the key under which a client transaction handles its request and the responses.
 fn client_key(message: &Message) -> Option<TransactionKey> {
     let branch = Via::parse(message.get("Via")?)?.branch?.to_owned();
     let method = message.cseq()?.1.to_owned();
     Some(TransactionKey { branch, sent_by: String::new(), method })
 }
 
-/// The CANCEL of an INVITE, or the ACK of its refusal (RFC 3261, 9.1 and 17.1.1.3).
+/// Creates the CANCEL of an INVITE, or the ACK of its final response other than 2xx (RFC 3261, sections 9.1 and
+/// 17.1.1.3).
 fn request_like_invite(invite: &Message, method: &str, to: Option<&str>) -> Message {
     let uri = match &invite.start_line {
         super::message::StartLine::Request { uri, .. } => uri,
