--- a/tests/sip_loopback.rs
+++ b/tests/sip_loopback.rs
@@ -1,5 +1,5 @@
-//! The SIP front on loopback sockets: the same scripted calls over UDP, TCP and mixes have the same outcomes.
-//! Callers and exchanges are stand-ins written from RFC 3261. Nothing here is judged by how long it took.
+//! The SIP front on loopback sockets: the same scripted calls must have the same outcomes over UDP, TCP and mixes.
+//! Callers and exchanges are stand-ins written from RFC 3261. No assertion depends on how long an operation takes.
 
 mod standin;
 
@@ -10,25 +10,25 @@
 use mallowring::sip::message::Message;
 use standin::{swap, Caller, Exchange, Proxy};
 
-const MIXES: [(Transport, Transport); 4] = [
+const TRANSPORT_PAIRS: [(Transport, Transport); 4] = [
     (Transport::Udp, Transport::Udp),
     (Transport::Tcp, Transport::Tcp),
     (Transport::Udp, Transport::Tcp),
     (Transport::Tcp, Transport::Udp),
 ];
 
-/// What the exchange does is in the number called; each script has an exchange number of its own, so that what
-/// the module learns from one moves no other.
+/// The scripts of the stand-in exchange. The dialled number selects the script. Each script has its own exchange
+/// number, so that what the controller learns from one script does not affect another.
 const SCRIPTS: [&str; 9] = ["answer", "hangup", "cut", "busy", "full", "error", "reset", "silent", "cancel"];
 
-/// A proxy that knows one exchange for each script, all of them the stand-in.
+/// Starts a proxy configured with one exchange per script, all of them the stand-in.
 fn proxy(exchange: &Exchange, transport: Transport) -> Proxy {
     let entry = |(ix, script): (usize, &&str)| exchange.entry(ix + 1, script, transport);
     Proxy::start(&SCRIPTS.iter().enumerate().map(entry).collect::<String>(), "")
 }
 
-/// Plays one script and tells what the caller and the exchange saw.
-fn play(proxy: &Proxy, exchange: &Exchange, transport: Transport, script: &str) -> Vec<String> {
+/// Runs one script and returns what the caller and the exchange received.
+fn run_script(proxy: &Proxy, exchange: &Exchange, transport: Transport, script: &str) -> Vec<String> {
     let mut caller = Caller::new(proxy.addr, transport);
     let wait = if script == "silent" { 300 } else { 5000 };
     let invite = caller.invite(script, wait, b"offer \x00\xff");
@@ -37,40 +37,40 @@
         exchange.wait_for(script, "INVITE");
         caller.send(&caller.follow(&invite, "CANCEL"));
     }
-    let fin = caller.final_response("INVITE");
-    let mut seen = vec![format!("caller: {}", fin.status().unwrap_or(0))];
-    seen.extend(fin.get("Retry-After").map(|s| format!("caller: come back after {s} s")));
-    match fin.status() {
+    let response = caller.final_response("INVITE");
+    let mut received = vec![format!("caller: {}", response.status().unwrap_or(0))];
+    received.extend(response.get("Retry-After").map(|s| format!("caller: come back after {s} s")));
+    match response.status() {
         Some(200) => {
-            seen.push(format!("caller: {:?}", String::from_utf8_lossy(&fin.body)));
-            caller.send(&caller.in_dialog(&fin, "ACK"));
+            received.push(format!("caller: {:?}", String::from_utf8_lossy(&response.body)));
+            caller.send(&caller.in_dialog(&response, "ACK"));
             if script == "answer" {
-                caller.send(&caller.in_dialog(&fin, "BYE"));
-                seen.push(format!("caller: BYE {}", caller.final_response("BYE").status().unwrap_or(0)));
+                caller.send(&caller.in_dialog(&response, "BYE"));
+                received.push(format!("caller: BYE {}", caller.final_response("BYE").status().unwrap_or(0)));
             } else {
                 let bye = caller.request("BYE");
-                seen.push(format!("caller: BYE, {}", bye.get("Reason").unwrap_or("no reason")));
+                received.push(format!("caller: BYE, {}", bye.get("Reason").unwrap_or("no reason")));
                 caller.send(&Message::response(200, "OK", &bye.headers));
             }
         }
-        _ => caller.send(&caller.ack(&invite, &fin)),
+        _ => caller.send(&caller.ack(&invite, &response)),
     }
-    seen.extend(exchange.settled(script));
-    seen
+    received.extend(exchange.settled(script));
+    received
 }
 
 #[test]
 fn the_same_calls_have_the_same_outcomes_over_udp_tcp_and_both_mixes() {
-    let all: Vec<Vec<Vec<String>>> = MIXES
+    let all: Vec<Vec<Vec<String>>> = TRANSPORT_PAIRS
         .iter()
-        .map(|(near, far)| {
+        .map(|(caller_side, exchange_side)| {
             let exchange = Exchange::start();
-            let proxy = proxy(&exchange, *far);
-            SCRIPTS.iter().map(|script| play(&proxy, &exchange, *near, script)).collect()
+            let proxy = proxy(&exchange, *exchange_side);
+            SCRIPTS.iter().map(|script| run_script(&proxy, &exchange, *caller_side, script)).collect()
         })
         .collect();
-    for (mix, outcomes) in MIXES.iter().zip(&all) {
-        assert_eq!(outcomes, &all[0], "{mix:?}");
+    for (transports, outcomes) in TRANSPORT_PAIRS.iter().zip(&all) {
+        assert_eq!(outcomes, &all[0], "{transports:?}");
     }
     let expected: [&[&str]; 9] = [
         &["caller: 200", "caller: \"answer to offer \\0�\"", "caller: BYE 200", "INVITE", "ACK", "BYE"],
@@ -78,9 +78,9 @@
         &["caller: 200", "caller: \"answer to offer \\0�\"", "caller: BYE, Q.850;cause=41", "INVITE", "ACK"],
         &["caller: 480", "caller: come back after 2 s", "INVITE", "ACK"],
         &["caller: 480", "caller: come back after 1 s", "INVITE", "ACK"],
-        // A fault may be another way's to avoid: two more exchanges are tried, one after the other.
+        // The failure may be particular to this route, so two more exchanges are tried in turn.
         &["caller: 480", "caller: come back after 1 s", "INVITE", "ACK", "INVITE", "ACK", "INVITE", "ACK"],
-        // After a reset the release is awaited, then the call is sent once more; that one is answered.
+        // After a reset the proxy waits for the release and then sends the call once more, which is answered.
         &[
             "caller: 200",
             "caller: \"answer to offer \\0�\"",
@@ -98,12 +98,13 @@
     }
 }
 
-/// Guards against two calls from one: a caller's TCP connection is reset and it repeats its set-up over UDP.
+/// Guards against setting up a call twice: a caller's TCP connection is reset and the caller repeats its INVITE over
+/// UDP.
 #[test]
 fn a_udp_retransmission_after_a_tcp_reset_makes_no_second_attempt() {
-    for far in [Transport::Udp, Transport::Tcp] {
+    for exchange_transport in [Transport::Udp, Transport::Tcp] {
         let exchange = Exchange::start();
-        let proxy = proxy(&exchange, far);
+        let proxy = proxy(&exchange, exchange_transport);
         let mut caller = Caller::new(proxy.addr, Transport::Tcp);
         let invite = caller.invite("answer-when-told", 5000, b"offer");
         caller.send(&invite);
@@ -111,46 +112,50 @@
         caller.reset();
         let mut caller = caller.over(Transport::Udp);
         caller.send(&invite);
-        assert_eq!(caller.response("INVITE").status(), Some(100), "it is known: nothing new is sent");
+        assert_eq!(
+            caller.response("INVITE").status(),
+            Some(100),
+            "the INVITE matches its transaction, so no attempt is made"
+        );
         exchange.answer_now();
-        let fin = caller.final_response("INVITE");
-        assert_eq!(fin.status(), Some(200));
-        // A repeat after the answer is absorbed too.
+        let response = caller.final_response("INVITE");
+        assert_eq!(response.status(), Some(200));
+        // A retransmission after the answer is absorbed as well.
         caller.send(&invite);
-        caller.send(&caller.in_dialog(&fin, "ACK"));
-        // The dialog began over TCP and goes on over UDP.
-        caller.send(&caller.in_dialog(&fin, "BYE"));
+        caller.send(&caller.in_dialog(&response, "ACK"));
+        // The dialog was established over TCP and continues over UDP.
+        caller.send(&caller.in_dialog(&response, "BYE"));
         assert_eq!(caller.final_response("BYE").status(), Some(200));
         assert_eq!(exchange.settled("answer-when-told"), ["INVITE", "ACK", "BYE"]);
     }
 }
 
-/// A dialog whose legs use different transports, and whose caller changes its own in the middle.
+/// The legs of the call use different transports, and the caller changes its transport within the dialog.
 #[test]
-fn a_dialog_goes_on_over_another_transport() {
+fn a_dialog_continues_over_another_transport() {
     for (first, then) in [(Transport::Udp, Transport::Tcp), (Transport::Tcp, Transport::Udp)] {
-        for far in [Transport::Udp, Transport::Tcp] {
+        for exchange_transport in [Transport::Udp, Transport::Tcp] {
             let exchange = Exchange::start();
-            let proxy = proxy(&exchange, far);
+            let proxy = proxy(&exchange, exchange_transport);
             let mut caller = Caller::new(proxy.addr, first);
             let invite = caller.invite("answer", 5000, b"offer");
             caller.send(&invite);
-            let fin = caller.final_response("INVITE");
-            caller.send(&caller.in_dialog(&fin, "ACK"));
-            let mut other = caller.over(then);
-            other.send(&other.in_dialog(&fin, "BYE"));
-            assert_eq!(other.final_response("BYE").status(), Some(200));
+            let response = caller.final_response("INVITE");
+            caller.send(&caller.in_dialog(&response, "ACK"));
+            let mut moved_caller = caller.over(then);
+            moved_caller.send(&moved_caller.in_dialog(&response, "BYE"));
+            assert_eq!(moved_caller.final_response("BYE").status(), Some(200));
             assert_eq!(exchange.settled("answer"), ["INVITE", "ACK", "BYE"]);
         }
     }
 }
 
 #[test]
-fn what_can_not_be_done_is_answered_for_good() {
+fn invalid_requests_get_final_responses() {
     let exchange = Exchange::start();
     let proxy = proxy(&exchange, Transport::Udp);
-    type Spoil = fn(&mut Message);
-    let cases: [(Spoil, u16); 8] = [
+    type Alter = fn(&mut Message);
+    let cases: [(Alter, u16); 8] = [
         (|m| swap(m, "X-Tier", "no-such-class"), 488),
         (|m| swap(m, "From", "<sip:a@stranger>;tag=s"), 403),
         (|m| m.start_line = Message::request("INVITE", "sip:nowhere@x").start_line, 404),
@@ -161,72 +166,72 @@
         (|m| m.headers.retain(|(n, _)| n != "Contact"), 400),
     ];
     for transport in [Transport::Udp, Transport::Tcp] {
-        for (spoil, status) in cases {
+        for (alter, status) in cases {
             let mut caller = Caller::new(proxy.addr, transport);
             let mut invite = caller.invite("answer", 5000, b"");
-            spoil(&mut invite);
+            alter(&mut invite);
             caller.send(&invite);
-            let fin = caller.final_response("INVITE");
-            assert_eq!(fin.status(), Some(status), "{invite:?}");
-            caller.send(&caller.ack(&invite, &fin));
+            let response = caller.final_response("INVITE");
+            assert_eq!(response.status(), Some(status), "{invite:?}");
+            caller.send(&caller.ack(&invite, &response));
         }
         let mut caller = Caller::new(proxy.addr, transport);
-        let lost = caller.invite("answer", 5000, b"");
+        let unsent_invite = caller.invite("answer", 5000, b"");
         for (method, status) in [("BYE", 481), ("CANCEL", 481), ("OPTIONS", 200), ("REGISTER", 405)] {
-            let mut message = caller.follow(&lost, method);
+            let mut message = caller.follow(&unsent_invite, method);
             swap(&mut message, "Via", &caller.via());
             caller.send(&message);
             assert_eq!(caller.final_response(method).status(), Some(status), "{method}");
         }
     }
-    assert!(exchange.settled("answer").is_empty(), "nothing of this went out");
+    assert!(exchange.settled("answer").is_empty(), "no request reached the exchange");
 }
 
-/// Guards the framing: a malformed message on a stream costs neither the stream nor the next message.
+/// Guards the framing: after a malformed message, the stream stays open and the next message is read.
 #[test]
 fn malformed_messages_get_400_on_a_stream_and_nothing_as_datagrams() {
     let exchange = Exchange::start();
     let proxy = proxy(&exchange, Transport::Udp);
-    let bad = b"INVITE sip:x SIP/3.0\r\nCall-ID: c-9\r\nCSeq: 1 INVITE\r\nContent-Length: 3\r\n\r\nabc";
+    let malformed = b"INVITE sip:x SIP/3.0\r\nCall-ID: c-9\r\nCSeq: 1 INVITE\r\nContent-Length: 3\r\n\r\nabc";
     let mut caller = Caller::new(proxy.addr, Transport::Tcp);
-    caller.raw(bad);
-    let refusal = caller.any();
-    assert_eq!((refusal.status(), refusal.get("Call-ID")), (Some(400), Some("c-9")));
+    caller.raw(malformed);
+    let bad_request = caller.any();
+    assert_eq!((bad_request.status(), bad_request.get("Call-ID")), (Some(400), Some("c-9")));
     let options = |caller: &mut Caller| {
-        let known = caller.invite("answer", 5000, b"");
-        let mut message = caller.follow(&known, "OPTIONS");
+        let unsent_invite = caller.invite("answer", 5000, b"");
+        let mut message = caller.follow(&unsent_invite, "OPTIONS");
         swap(&mut message, "Via", &caller.via());
         caller.send(&message);
         caller.any().status()
     };
-    assert_eq!(options(&mut caller), Some(200), "the stream goes on");
+    assert_eq!(options(&mut caller), Some(200), "the stream stays open");
     let mut caller = Caller::new(proxy.addr, Transport::Udp);
-    caller.raw(bad);
+    caller.raw(malformed);
     caller.raw(b"\xff\xfe");
-    assert_eq!(options(&mut caller), Some(200), "nothing else was answered");
+    assert_eq!(options(&mut caller), Some(200), "the malformed datagrams get no response");
 }
 
-/// Guards the rule that nobody waits for a slow reader: one that never reads does not stop the others.
+/// Guards against blocking on a slow reader: a caller that never reads must not delay other callers.
 #[test]
-fn a_caller_that_never_reads_stops_nobody() {
+fn a_caller_that_never_reads_does_not_block_others() {
     let exchange = Exchange::start();
     let proxy = proxy(&exchange, Transport::Udp);
     let (done, finished) = mpsc::channel();
     let addr = proxy.addr;
     thread::spawn(move || {
-        let mut deaf = Caller::new(addr, Transport::Tcp);
-        let known = deaf.invite("answer", 5000, b"");
+        let mut slow_reader = Caller::new(addr, Transport::Tcp);
+        let unsent_invite = slow_reader.invite("answer", 5000, b"");
         for _ in 0..20_000 {
-            let mut message = deaf.follow(&known, "OPTIONS");
-            swap(&mut message, "Via", &deaf.via());
-            // Its connection is closed on it in the end.
-            if !deaf.try_send(&message) {
+            let mut message = slow_reader.follow(&unsent_invite, "OPTIONS");
+            swap(&mut message, "Via", &slow_reader.via());
+            // The proxy closes its connection eventually.
+            if !slow_reader.try_send(&message) {
                 break;
             }
         }
         let _ = done.send(());
     });
-    let outcome = play(&proxy, &exchange, Transport::Tcp, "answer");
+    let outcome = run_script(&proxy, &exchange, Transport::Tcp, "answer");
     assert_eq!(outcome.first().map(String::as_str), Some("caller: 200"));
-    finished.recv().expect("the deaf caller ends as well");
+    finished.recv().expect("the caller that never reads stops as well");
 }
--- a/tests/sip_transactions.rs
+++ b/tests/sip_transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions and dialogs on a clock of the test's own: the same script over UDP and TCP.
+//! The SIP transaction layer on a simulated clock, with the same sequences over UDP and TCP.
 
 use mallowring::interface::Time;
 use mallowring::sip::header::{Hop, Transport};
@@ -7,7 +7,7 @@
     TransactionFailure, TransactionKey, TransactionLayer, TransactionOutput, TransactionTimer,
 };
 
-const BOTH: [Transport; 2] = [Transport::Udp, Transport::Tcp];
+const TRANSPORTS: [Transport; 2] = [Transport::Udp, Transport::Tcp];
 
 fn hop(transport: Transport, port: u16) -> Hop {
     Hop { transport, addr: ([127, 0, 0, 1], port).into() }
@@ -22,44 +22,44 @@
         .with("CSeq", format!("1 {method}"))
 }
 
-struct Bench {
+struct Harness {
     layer: TransactionLayer,
     now: f64,
-    alarms: Vec<(f64, TransactionTimer)>,
+    timers: Vec<(f64, TransactionTimer)>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
-        Bench { layer: TransactionLayer::default(), now: 100.0, alarms: Vec::new() }
+        Harness { layer: TransactionLayer::default(), now: 100.0, timers: Vec::new() }
     }
 
     fn run(
         &mut self,
-        work: impl FnOnce(&mut TransactionLayer, Time, &mut Vec<TransactionOutput>),
+        operation: impl FnOnce(&mut TransactionLayer, Time, &mut Vec<TransactionOutput>),
     ) -> Vec<TransactionOutput> {
         let mut out = Vec::new();
-        work(&mut self.layer, Time(self.now), &mut out);
-        let (wakes, rest): (Vec<_>, Vec<_>) =
+        operation(&mut self.layer, Time(self.now), &mut out);
+        let (timers_started, other_outputs): (Vec<_>, Vec<_>) =
             out.into_iter().partition(|o| matches!(o, TransactionOutput::StartTimer(..)));
-        self.alarms.extend(wakes.into_iter().filter_map(|o| match o {
-            TransactionOutput::StartTimer(at, alarm) => Some((at.0, alarm)),
+        self.timers.extend(timers_started.into_iter().filter_map(|o| match o {
+            TransactionOutput::StartTimer(at, timer) => Some((at.0, timer)),
             _ => None,
         }));
-        rest
+        other_outputs
     }
 
-    /// Lets time pass and returns what happens with the seconds at which it does.
-    fn pass(&mut self, seconds: f64) -> Vec<(f64, TransactionOutput)> {
+    /// Advances the clock, firing due timers, and returns each output with the seconds since the start of the call.
+    fn advance(&mut self, seconds: f64) -> Vec<(f64, TransactionOutput)> {
         let (start, end) = (self.now, self.now + seconds);
         let mut all = Vec::new();
         loop {
-            self.alarms.sort_by(|a, b| a.0.total_cmp(&b.0));
-            if self.alarms.first().is_none_or(|(at, _)| *at > end) {
+            self.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
+            if self.timers.first().is_none_or(|(at, _)| *at > end) {
                 break;
             }
-            let (at, alarm) = self.alarms.remove(0);
+            let (at, timer) = self.timers.remove(0);
             self.now = at;
-            let out = self.run(|layer, now, out| layer.on_timer(now, alarm, out));
+            let out = self.run(|layer, now, out| layer.on_timer(now, timer, out));
             all.extend(out.into_iter().map(|o| (at - start, o)));
         }
         self.now = end;
@@ -96,136 +96,147 @@
     out.iter().filter_map(name).collect()
 }
 
-fn times_of_sends(happened: &[(f64, TransactionOutput)]) -> Vec<f64> {
-    let sends = happened.iter().filter(|(_, o)| matches!(o, TransactionOutput::Send(..)));
+fn times_of_sends(outputs: &[(f64, TransactionOutput)]) -> Vec<f64> {
+    let sends = outputs.iter().filter(|(_, o)| matches!(o, TransactionOutput::Send(..)));
     sends.map(|(at, _)| (at * 10.0).round() / 10.0).collect()
 }
 
 #[test]
-fn an_unanswered_invite_is_repeated_over_udp_only_and_fails_after_32_seconds_over_both() {
-    for transport in BOTH {
-        let mut bench = Bench::new();
-        let (key, _) = bench.invite(transport);
-        let happened = bench.pass(40.0);
-        let repeats: &[f64] = match transport {
+fn an_unanswered_invite_is_retransmitted_over_udp_only_and_fails_after_32_seconds_over_both() {
+    for transport in TRANSPORTS {
+        let mut harness = Harness::new();
+        let (key, _) = harness.invite(transport);
+        let outputs = harness.advance(40.0);
+        let retransmissions: &[f64] = match transport {
             Transport::Udp => &[0.5, 1.5, 3.5, 7.5, 15.5, 31.5],
             Transport::Tcp => &[],
         };
-        assert_eq!(times_of_sends(&happened), repeats);
+        assert_eq!(times_of_sends(&outputs), retransmissions);
         assert_eq!(
-            happened.last(),
+            outputs.last(),
             Some(&(32.0, TransactionOutput::Failed(key, TransactionFailure::Timeout)))
         );
-        assert!(bench.layer.is_empty(), "nothing stays behind");
+        assert!(harness.layer.is_empty(), "all transactions are removed");
     }
 }
 
-/// Guards the rule on sends after a time-out: an attempt given up is not sent again, not even as a repeat, and
-/// its CANCEL waits for a sign of life (RFC 3261, 9.1).
+/// Guards against sends after a time-out: a cancelled INVITE must not be retransmitted, and its CANCEL must wait for a
+/// provisional response (RFC 3261, section 9.1).
 #[test]
-fn an_invite_called_off_is_silent_until_something_is_heard() {
-    for transport in BOTH {
-        let mut bench = Bench::new();
-        let (key, invite) = bench.invite(transport);
-        let out = bench.run(|layer, now, out| layer.cancel_invite(now, &key, out));
+fn a_cancelled_invite_sends_nothing_until_a_provisional_response() {
+    for transport in TRANSPORTS {
+        let mut harness = Harness::new();
+        let (key, invite) = harness.invite(transport);
+        let out = harness.run(|layer, now, out| layer.cancel_invite(now, &key, out));
         assert!(out.is_empty());
-        assert!(bench.pass(5.0).is_empty(), "no repeat");
+        assert!(harness.advance(5.0).is_empty(), "no retransmission");
         let trying = Message::response(100, "Trying", &invite.headers);
-        assert_eq!(statuses_and_methods(&bench.receive(hop(transport, 5071), &trying)), ["CANCEL"]);
-        let gone = Message::response(487, "Request Terminated", &invite.headers);
-        let out = bench.receive(hop(transport, 5071), &gone);
+        assert_eq!(statuses_and_methods(&harness.receive(hop(transport, 5071), &trying)), ["CANCEL"]);
+        let terminated = Message::response(487, "Request Terminated", &invite.headers);
+        let out = harness.receive(hop(transport, 5071), &terminated);
         assert_eq!(statuses_and_methods(&out), ["ACK"]);
         assert!(matches!(&out[1], TransactionOutput::Response(k, m) if *k == key && m.status() == Some(487)));
     }
 }
 
-/// Guards against two calls from one: the repeat comes by another way once the connection is gone.
+/// Guards against setting up a call twice: after the TCP connection is lost, the caller retransmits its INVITE over
+/// UDP.
 #[test]
 fn a_udp_retransmission_after_a_tcp_reset_is_the_same_transaction() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let over_tcp = request("INVITE", Transport::Tcp);
-    let out = bench.receive(hop(Transport::Tcp, 40_000), &over_tcp);
-    let Some(TransactionOutput::Request(key, _, seen)) = out.last().cloned() else { panic!("{out:?}") };
+    let out = harness.receive(hop(Transport::Tcp, 40_000), &over_tcp);
+    let Some(TransactionOutput::Request(key, _, received)) = out.last().cloned() else { panic!("{out:?}") };
     assert_eq!(statuses_and_methods(&out), ["100"]);
-    bench.run(|layer, now, out| {
+    harness.run(|layer, now, out| {
         layer.on_connection_failed(now, hop(Transport::Tcp, 40_000), TransactionFailure::ConnectionLost, out)
     });
     let over_udp = request("INVITE", Transport::Udp);
-    let out = bench.receive(hop(Transport::Udp, 7000), &over_udp);
-    assert_eq!(statuses_and_methods(&out), ["100"], "what was said last goes the new way, and nothing else");
+    let out = harness.receive(hop(Transport::Udp, 7000), &over_udp);
+    assert_eq!(statuses_and_methods(&out), ["100"], "only the last response is sent, over the new transport");
     assert!(matches!(&out[..], [TransactionOutput::Send(to, None, _)] if *to == hop(Transport::Udp, 7000)));
-    let out = bench.respond(&key, 486, &seen);
-    assert!(
-        matches!(&out[..], [TransactionOutput::Send(to, None, m)] if *to == hop(Transport::Udp, 7000) && m.status() == Some(486))
-    );
-    // After the final answer too, and though its connection was reliable.
-    let out = bench.receive(hop(Transport::Udp, 7000), &over_udp);
+    let out = harness.respond(&key, 486, &received);
+    assert!(matches!(&out[..], [TransactionOutput::Send(to, None, m)]
+            if *to == hop(Transport::Udp, 7000) && m.status() == Some(486)));
+    // The same holds after the final response, although the request first arrived over a reliable transport.
+    let out = harness.receive(hop(Transport::Udp, 7000), &over_udp);
     assert_eq!(statuses_and_methods(&out), ["486"]);
 }
 
 #[test]
-fn a_refusal_is_repeated_over_udp_until_its_ack_and_a_second_one_is_never_sent() {
-    for transport in BOTH {
-        let mut bench = Bench::new();
+fn a_failure_response_is_retransmitted_over_udp_until_its_ack_and_a_second_one_is_never_sent() {
+    for transport in TRANSPORTS {
+        let mut harness = Harness::new();
         let from = hop(transport, 7000);
-        let out = bench.receive(from, &request("INVITE", transport));
-        let Some(TransactionOutput::Request(key, _, seen)) = out.last().cloned() else { panic!("{out:?}") };
-        assert_eq!(statuses_and_methods(&bench.respond(&key, 480, &seen)), ["480"]);
-        assert!(bench.respond(&key, 500, &seen).is_empty(), "one final answer");
-        let repeats: &[f64] = if transport == Transport::Udp { &[0.5, 1.5, 3.5] } else { &[] };
-        assert_eq!(times_of_sends(&bench.pass(5.0)), repeats);
-        assert!(bench.receive(from, &request("ACK", transport)).is_empty(), "the layer's own");
-        assert!(times_of_sends(&bench.pass(40.0)).is_empty());
-        assert!(bench.layer.is_empty());
+        let out = harness.receive(from, &request("INVITE", transport));
+        let Some(TransactionOutput::Request(key, _, received)) = out.last().cloned() else {
+            panic!("{out:?}")
+        };
+        assert_eq!(statuses_and_methods(&harness.respond(&key, 480, &received)), ["480"]);
+        assert!(harness.respond(&key, 500, &received).is_empty(), "only one final response is sent");
+        let retransmissions: &[f64] = if transport == Transport::Udp { &[0.5, 1.5, 3.5] } else { &[] };
+        assert_eq!(times_of_sends(&harness.advance(5.0)), retransmissions);
+        assert!(
+            harness.receive(from, &request("ACK", transport)).is_empty(),
+            "the transaction layer absorbs this ACK"
+        );
+        assert!(times_of_sends(&harness.advance(40.0)).is_empty());
+        assert!(harness.layer.is_empty());
     }
 }
 
 #[test]
-fn a_success_that_comes_again_is_told_again_for_its_ack() {
-    for transport in BOTH {
-        let mut bench = Bench::new();
-        let (_, invite) = bench.invite(transport);
+fn a_repeated_success_response_is_reported_each_time_for_its_ack() {
+    for transport in TRANSPORTS {
+        let mut harness = Harness::new();
+        let (_, invite) = harness.invite(transport);
         let success = Message::response(200, "OK", &invite.headers);
         for _ in 0..3 {
-            let out = bench.receive(hop(transport, 5071), &success);
+            let out = harness.receive(hop(transport, 5071), &success);
             assert!(
                 matches!(&out[..], [TransactionOutput::Response(_, m)] if m.status() == Some(200)),
                 "{out:?}"
             );
         }
-        assert!(times_of_sends(&bench.pass(40.0)).is_empty());
-        assert!(bench.layer.is_empty());
+        assert!(times_of_sends(&harness.advance(40.0)).is_empty());
+        assert!(harness.layer.is_empty());
     }
 }
 
-/// Guards against a second outcome for one attempt: a broken connection is told once, and the timer after it
-/// tells nothing more; an answer that still comes is passed on, to be released.
+/// Guards against two outcomes for one attempt: a lost connection is reported once and the timer that expires later
+/// reports nothing. A late 2xx response is still passed on, so that the agent can release the call.
 #[test]
-fn a_broken_connection_fails_what_waits_on_it_once() {
-    let mut bench = Bench::new();
-    let (key, invite) = bench.invite(Transport::Tcp);
+fn a_lost_connection_fails_its_client_transactions_once() {
+    let mut harness = Harness::new();
+    let (key, invite) = harness.invite(Transport::Tcp);
     let at = hop(Transport::Tcp, 5071);
-    let out = bench
+    let out = harness
         .run(|layer, now, out| layer.on_connection_failed(now, at, TransactionFailure::ConnectionLost, out));
     assert_eq!(out, [TransactionOutput::Failed(key, TransactionFailure::ConnectionLost)]);
-    assert!(bench
+    assert!(harness
         .run(|layer, now, out| layer.on_connection_failed(now, at, TransactionFailure::ConnectionLost, out))
         .is_empty());
     let late = Message::response(200, "OK", &invite.headers);
     assert!(matches!(
-        &bench.receive(hop(Transport::Udp, 5071), &late)[..],
+        &harness.receive(hop(Transport::Udp, 5071), &late)[..],
         [TransactionOutput::Response(..)]
     ));
-    assert!(bench.pass(80.0).is_empty());
-    assert!(bench.layer.is_empty());
+    assert!(harness.advance(80.0).is_empty());
+    assert!(harness.layer.is_empty());
 }
 
 #[test]
-fn a_request_without_a_way_back_goes_back_the_way_it_came() {
-    let mut bench = Bench::new();
-    let mut bare = request("OPTIONS", Transport::Tcp);
-    bare.headers.retain(|(name, _)| name != "Via");
-    assert_eq!(statuses_and_methods(&bench.receive(hop(Transport::Tcp, 7000), &bare)), ["400"]);
-    bare.headers.push(("Via".into(), "nonsense".into()));
-    assert_eq!(statuses_and_methods(&bench.receive(hop(Transport::Tcp, 7000), &bare)), ["400"]);
+fn a_request_without_a_valid_via_is_answered_at_its_source() {
+    let mut harness = Harness::new();
+    let mut request_without_via = request("OPTIONS", Transport::Tcp);
+    request_without_via.headers.retain(|(name, _)| name != "Via");
+    assert_eq!(
+        statuses_and_methods(&harness.receive(hop(Transport::Tcp, 7000), &request_without_via)),
+        ["400"]
+    );
+    request_without_via.headers.push(("Via".into(), "nonsense".into()));
+    assert_eq!(
+        statuses_and_methods(&harness.receive(hop(Transport::Tcp, 7000), &request_without_via)),
+        ["400"]
+    );
 }
