--- a/src/sip/agent.rs
+++ b/src/sip/agent.rs
@@ -1,5 +1,6 @@
-//! The agent between SIP and the core: server towards callers, client towards exchanges, a dialog on each side
-//! of a call. No sockets and no clock; the transport of a side is a parameter.
+//! The SIP user agent between callers, exchanges and the call table. It is a UAS towards callers and a UAC
+//! towards exchanges, with a separate dialog on each side of a call. It uses no sockets and no clock, and
+//! each side of a call may use UDP or TCP.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,36 +16,37 @@
 use crate::calls::{CallEvent, CallerCommand, ExchangeCommand, Front, RejectReason, Request, SetUp};
 use crate::interface::*;
 
+/// The value of the Allow header.
 const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
 
-/// A class of call as the agent needs it.
+/// The settings of a class of call that the agent needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallClass {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// How long a caller waits that does not say.
+    /// How long a caller waits in seconds: the default without a deadline, and the upper limit for `Expires`.
     pub give_up: Secs,
-    /// The circuits that a call takes.
+    /// The number of circuits that a call takes.
     pub width: u32,
 }
 
-/// An exchange that speaks SIP, and the trunk group to it.
+/// An exchange that is reached over SIP, and the trunk group to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exchange {
-    /// Its id.
+    /// The identifier of the exchange.
     pub id: ExchangeId,
-    /// Its number.
+    /// The exchange number.
     pub number: ExchangeNumber,
-    /// Numbers called that begin like this lead there.
+    /// Prefixes of the dialled numbers that are routed to the exchange.
     pub prefixes: Vec<String>,
-    /// Where it listens.
+    /// The transport and address at which the exchange listens.
     pub hop: Hop,
-    /// The size of the trunk group.
+    /// The number of circuits in the trunk group.
     pub circuits: u32,
 }
 
 impl Exchange {
-    /// Its line of the list.
+    /// Returns the roster entry of the exchange.
     pub fn roster_entry(&self) -> RosterEntry {
         RosterEntry {
             id: self.id,
@@ -57,134 +59,137 @@
     }
 }
 
-/// What the agent is told at its start.
+/// The configuration of the agent.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
-    /// The host part of its own addresses: where it listens, for UDP and TCP alike.
+    /// The address at which the agent listens over UDP and TCP, used in its URIs and Via headers.
     pub addr: std::net::SocketAddr,
-    /// The classes; calls that name none and are not urgent take the first.
+    /// The classes of call. A call without a class takes the first one, unless its priority is emergency.
     pub classes: Vec<CallClass>,
-    /// The class of calls with `Priority: emergency`.
+    /// The class of a call with `Priority: emergency` and no class of its own.
     pub urgent_class: String,
-    /// The exchanges.
+    /// The exchanges that are reached over SIP.
     pub exchanges: Vec<Exchange>,
-    /// For tags, branches and ids.
+    /// The seed of the random tags, branches and call identifiers.
     pub seed: u64,
 }
 
-/// A timer of the agent.
+/// Identifies a timer of the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentTimer {
-    /// Of a transaction.
+    /// A timer of the transaction layer.
     Transaction(transaction::TransactionTimer),
-    /// A success to a caller may have to be sent again.
+    /// Retransmits the 2xx response to a caller unless its ACK was received.
     RetransmitSuccess(CallId),
 }
 
-/// What the agent wants done.
+/// An action that the agent requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentOutput {
-    /// A message leaves; the second way is for where the first has no connection.
+    /// Send a message to the first hop, or to the second one if there is no connection to the first.
     Send(Hop, Option<Hop>, Message),
-    /// A timer is wanted.
+    /// Start a timer that expires at the given time.
     StartTimer(Time, AgentTimer),
-    /// Something for the core.
+    /// Pass an input to the call table.
     CallTable(CallEvent),
 }
 
-/// The caller's side of a call.
+/// The caller side of a call.
 #[derive(Debug)]
-struct NearLeg {
+struct CallerSide {
     key: TransactionKey,
     invite: Message,
     hop: Hop,
     tag: String,
-    /// From the success on: it, and the dialog.
+    /// The 2xx response and the dialog, once the call is answered.
     success: Option<(Message, Dialog)>,
-    acked: bool,
-    since: Time,
-    interval: Secs,
-    /// A release waits for the ACK (RFC 3261, 15).
-    release: Option<u32>,
+    ack_received: bool,
+    /// When the 2xx response was first sent.
+    answered_at: Time,
+    retransmit_interval: Secs,
+    /// The Q.850 cause of a release that waits for the ACK, before which the UAS must not send BYE (RFC 3261,
+    /// section 15).
+    pending_release_cause: Option<u32>,
 }
 
-/// The exchange's side of one attempt.
+/// The exchange side of one attempt.
 #[derive(Debug)]
-struct FarLeg {
+struct ExchangeSide {
     office: ExchangeId,
     key: Option<TransactionKey>,
     width: u32,
     dialog: Option<Dialog>,
-    /// The ACK that answers every repeat of the success.
+    /// The ACK, which is sent again for each retransmission of the 2xx response.
     ack: Option<Message>,
 }
 
+/// A call and the number of one of its attempts.
 type Attempt = (CallId, u32);
 
-/// The agent.
+/// The SIP user agent.
 #[derive(Debug)]
 pub struct Agent {
-    setup: AgentConfig,
+    config: AgentConfig,
     rng: fastrand::Rng,
     transactions: TransactionLayer,
-    near: BTreeMap<CallId, NearLeg>,
-    by_key: BTreeMap<TransactionKey, CallId>,
-    near_dialogs: BTreeMap<DialogId, CallId>,
-    far: BTreeMap<Attempt, FarLeg>,
-    by_client: BTreeMap<TransactionKey, Attempt>,
-    far_dialogs: BTreeMap<DialogId, Attempt>,
-    used: BTreeMap<ExchangeId, u32>,
-    /// What the transactions said while an event is handled.
-    said: Vec<TransactionOutput>,
+    caller_sides: BTreeMap<CallId, CallerSide>,
+    calls_by_server_key: BTreeMap<TransactionKey, CallId>,
+    calls_by_dialog: BTreeMap<DialogId, CallId>,
+    exchange_sides: BTreeMap<Attempt, ExchangeSide>,
+    attempts_by_client_key: BTreeMap<TransactionKey, Attempt>,
+    attempts_by_dialog: BTreeMap<DialogId, Attempt>,
+    circuits_in_use: BTreeMap<ExchangeId, u32>,
+    /// An empty buffer for outputs of the transaction layer, kept to reuse its memory.
+    pending_outputs: Vec<TransactionOutput>,
 }
 
 impl Agent {
-    /// An agent without calls.
-    pub fn new(setup: AgentConfig) -> Self {
+    /// Creates an agent without calls.
+    pub fn new(config: AgentConfig) -> Self {
         Agent {
-            rng: fastrand::Rng::with_seed(setup.seed),
-            setup,
+            rng: fastrand::Rng::with_seed(config.seed),
+            config,
             transactions: TransactionLayer::default(),
-            near: BTreeMap::new(),
-            by_key: BTreeMap::new(),
-            near_dialogs: BTreeMap::new(),
-            far: BTreeMap::new(),
-            by_client: BTreeMap::new(),
-            far_dialogs: BTreeMap::new(),
-            used: BTreeMap::new(),
-            said: Vec::new(),
+            caller_sides: BTreeMap::new(),
+            calls_by_server_key: BTreeMap::new(),
+            calls_by_dialog: BTreeMap::new(),
+            exchange_sides: BTreeMap::new(),
+            attempts_by_client_key: BTreeMap::new(),
+            attempts_by_dialog: BTreeMap::new(),
+            circuits_in_use: BTreeMap::new(),
+            pending_outputs: Vec::new(),
         }
     }
 
-    /// Its exchanges as lines of the list, and the state of their groups.
+    /// Passes the roster entries of the exchanges and the state of their trunk groups to the call table.
     pub fn start(&self, out: &mut Vec<AgentOutput>) {
-        let offices = self.setup.exchanges.iter().map(Exchange::roster_entry).collect();
+        let offices = self.config.exchanges.iter().map(Exchange::roster_entry).collect();
         out.push(AgentOutput::CallTable(CallEvent::Roster { full: false, entries: offices }));
-        for exchange in &self.setup.exchanges {
-            self.state(exchange.id, out);
+        for exchange in &self.config.exchanges {
+            self.report_trunk_group(exchange.id, out);
         }
     }
 
-    /// A message has come in.
+    /// Handles a received message.
     pub fn receive(&mut self, now: Time, from: Hop, message: Message, out: &mut Vec<AgentOutput>) {
-        let mut said = std::mem::take(&mut self.said);
-        self.transactions.receive(now, from, message, &mut said);
-        self.heed(now, said, out);
-    }
-
-    /// A timer has run down.
-    pub fn on_timer(&mut self, now: Time, alarm: AgentTimer, out: &mut Vec<AgentOutput>) {
-        match alarm {
-            AgentTimer::Transaction(alarm) => {
-                let mut said = std::mem::take(&mut self.said);
-                self.transactions.on_timer(now, alarm, &mut said);
-                self.heed(now, said, out);
+        let mut outputs = std::mem::take(&mut self.pending_outputs);
+        self.transactions.receive(now, from, message, &mut outputs);
+        self.handle_outputs(now, outputs, out);
+    }
+
+    /// Handles an expired timer.
+    pub fn on_timer(&mut self, now: Time, timer: AgentTimer, out: &mut Vec<AgentOutput>) {
+        match timer {
+            AgentTimer::Transaction(timer) => {
+                let mut outputs = std::mem::take(&mut self.pending_outputs);
+                self.transactions.on_timer(now, timer, &mut outputs);
+                self.handle_outputs(now, outputs, out);
             }
-            AgentTimer::RetransmitSuccess(id) => self.unacknowledged(now, id, out),
+            AgentTimer::RetransmitSuccess(id) => self.retransmit_success(now, id, out),
         }
     }
 
-    /// A connection has broken or none came up.
+    /// Handles a connection that was lost or could not be made.
     pub fn on_connection_failed(
         &mut self,
         now: Time,
@@ -192,17 +197,19 @@
         failure: TransactionFailure,
         out: &mut Vec<AgentOutput>,
     ) {
-        let mut said = std::mem::take(&mut self.said);
-        self.transactions.on_connection_failed(now, hop, failure, &mut said);
-        self.heed(now, said, out);
+        let mut outputs = std::mem::take(&mut self.pending_outputs);
+        self.transactions.on_connection_failed(now, hop, failure, &mut outputs);
+        self.handle_outputs(now, outputs, out);
     }
 
-    fn heed(&mut self, now: Time, mut said: Vec<TransactionOutput>, out: &mut Vec<AgentOutput>) {
-        for one in said.drain(..) {
-            match one {
-                TransactionOutput::Send(hop, alt, message) => out.push(AgentOutput::Send(hop, alt, message)),
-                TransactionOutput::StartTimer(at, alarm) => {
-                    out.push(AgentOutput::StartTimer(at, AgentTimer::Transaction(alarm)))
+    fn handle_outputs(&mut self, now: Time, mut outputs: Vec<TransactionOutput>, out: &mut Vec<AgentOutput>) {
+        for output in outputs.drain(..) {
+            match output {
+                TransactionOutput::Send(hop, fallback, message) => {
+                    out.push(AgentOutput::Send(hop, fallback, message))
+                }
+                TransactionOutput::StartTimer(at, timer) => {
+                    out.push(AgentOutput::StartTimer(at, AgentTimer::Transaction(timer)))
                 }
                 TransactionOutput::Request(key, hop, message) => self.on_request(now, key, hop, message, out),
                 TransactionOutput::Ack(message) => self.on_ack(now, &message, out),
@@ -210,24 +217,26 @@
                 TransactionOutput::Failed(key, failure) => self.on_failed(&key, failure, out),
             }
         }
-        self.said = said;
+        self.pending_outputs = outputs;
     }
 
-    /// Runs something on the transactions and passes on what they want done.
-    fn with<T>(
+    /// Runs an operation on the transaction layer and passes on the actions it requests.
+    fn with_transactions<T>(
         &mut self,
         out: &mut Vec<AgentOutput>,
-        work: impl FnOnce(&mut TransactionLayer, &mut Vec<TransactionOutput>) -> T,
+        operation: impl FnOnce(&mut TransactionLayer, &mut Vec<TransactionOutput>) -> T,
     ) -> T {
-        let mut said = Vec::new();
-        let result = work(&mut self.transactions, &mut said);
-        for one in said {
-            match one {
-                TransactionOutput::Send(hop, alt, message) => out.push(AgentOutput::Send(hop, alt, message)),
-                TransactionOutput::StartTimer(at, alarm) => {
-                    out.push(AgentOutput::StartTimer(at, AgentTimer::Transaction(alarm)))
+        let mut outputs = Vec::new();
+        let result = operation(&mut self.transactions, &mut outputs);
+        for output in outputs {
+            match output {
+                TransactionOutput::Send(hop, fallback, message) => {
+                    out.push(AgentOutput::Send(hop, fallback, message))
+                }
+                TransactionOutput::StartTimer(at, timer) => {
+                    out.push(AgentOutput::StartTimer(at, AgentTimer::Transaction(timer)))
                 }
-                // What we start or answer ourselves brings nothing from outside.
+                // Sending a request or a response never reports a received message or a failure.
                 TransactionOutput::Request(..)
                 | TransactionOutput::Ack(_)
                 | TransactionOutput::Response(..)
@@ -238,21 +247,23 @@
     }
 
     fn respond(&mut self, now: Time, key: &TransactionKey, response: Message, out: &mut Vec<AgentOutput>) {
-        self.with(out, |transactions, said| transactions.respond(now, key, response, said));
+        self.with_transactions(out, |transactions, outputs| {
+            transactions.respond(now, key, response, outputs)
+        });
     }
 
-    fn token(&mut self) -> String {
+    fn random_token(&mut self) -> String {
         format!("{:016x}", self.rng.u64(..))
     }
 
     fn via(&mut self, transport: Transport) -> String {
-        let (name, addr) = (transport.name(), self.setup.addr);
-        format!("SIP/2.0/{name} {addr};rport;branch=z9hG4bK{}", self.token())
+        let (name, addr) = (transport.name(), self.config.addr);
+        format!("SIP/2.0/{name} {addr};rport;branch=z9hG4bK{}", self.random_token())
     }
 
     fn contact(&self, transport: Transport) -> String {
         let name = transport.name().to_ascii_lowercase();
-        format!("<sip:mallowring@{};transport={name}>", self.setup.addr)
+        format!("<sip:mallowring@{};transport={name}>", self.config.addr)
     }
 
     // ---- Callers -------------------------------------------------------------------------------
@@ -265,37 +276,38 @@
         message: Message,
         out: &mut Vec<AgentOutput>,
     ) {
-        let plain = |status, reason| Message::response(status, reason, &message.headers);
+        let new_response = |status, reason| Message::response(status, reason, &message.headers);
         let method = message.method().unwrap_or("");
-        let tagged = |name| message.get(name).is_some_and(|v| header::tag(v).is_some());
-        let answer = if message.get("From").is_none() || message.get("To").is_none() {
-            Some(plain(400, "Bad Request"))
+        let has_tag = |name| message.get(name).is_some_and(|v| header::tag(v).is_some());
+        let response = if message.get("From").is_none() || message.get("To").is_none() {
+            Some(new_response(400, "Bad Request"))
         } else if message.get("Max-Forwards").is_some_and(|v| v.trim() == "0") {
-            Some(plain(483, "Too Many Hops"))
-        } else if let (Some(wanted), false) = (message.get("Require"), method == "CANCEL") {
-            Some(plain(420, "Bad Extension").with("Unsupported", wanted))
+            Some(new_response(483, "Too Many Hops"))
+        } else if let (Some(required), false) = (message.get("Require"), method == "CANCEL") {
+            Some(new_response(420, "Bad Extension").with("Unsupported", required))
         } else {
             match method {
-                "OPTIONS" => Some(plain(200, "OK").with("Allow", ALLOW)),
-                "INVITE" if tagged("To") => Some(self.on_reinvite(&message)),
+                "OPTIONS" => Some(new_response(200, "OK").with("Allow", ALLOW)),
+                "INVITE" if has_tag("To") => Some(self.reinvite_response(&message)),
                 "INVITE" => return self.on_invite(now, key, hop, message, out),
                 "CANCEL" => return self.on_cancel(now, &key, &message, out),
                 "BYE" => return self.on_bye(now, &key, &message, out),
-                _ => Some(plain(405, "Method Not Allowed").with("Allow", ALLOW)),
+                _ => Some(new_response(405, "Method Not Allowed").with("Allow", ALLOW)),
             }
         };
-        if let Some(answer) = answer {
-            self.respond(now, &key, answer, out);
+        if let Some(response) = response {
+            self.respond(now, &key, response, out);
         }
     }
 
-    /// What was agreed at the set-up stays as it is.
-    fn on_reinvite(&mut self, message: &Message) -> Message {
+    /// Returns the response to a re-INVITE. Session changes are rejected with 488 (RFC 3261, section 14.2).
+    fn reinvite_response(&mut self, message: &Message) -> Message {
         let id = DialogId::of_request(message);
-        let near = self.near_dialogs.get(&id).and_then(|id| self.near.get_mut(id));
-        let near = near.and_then(|leg| leg.success.as_mut().map(|(_, dialog)| dialog));
-        let far = self.far_dialogs.get(&id).and_then(|attempt| self.far.get_mut(attempt));
-        match near.or(far.and_then(|leg| leg.dialog.as_mut())) {
+        let caller_side = self.calls_by_dialog.get(&id).and_then(|id| self.caller_sides.get_mut(id));
+        let caller_side = caller_side.and_then(|side| side.success.as_mut().map(|(_, dialog)| dialog));
+        let exchange_side =
+            self.attempts_by_dialog.get(&id).and_then(|attempt| self.exchange_sides.get_mut(attempt));
+        match caller_side.or(exchange_side.and_then(|side| side.dialog.as_mut())) {
             None => Message::response(481, "Call/Transaction Does Not Exist", &message.headers),
             Some(dialog) => match dialog.accept_cseq(message) {
                 true => Message::response(488, "Not Acceptable Here", &message.headers),
@@ -312,32 +324,32 @@
         message: Message,
         out: &mut Vec<AgentOutput>,
     ) {
-        let same = |leg: &NearLeg| {
+        let same_request = |side: &CallerSide| {
             let tag = |m: &Message| m.get("From").and_then(header::tag).map(str::to_owned);
-            let (a, b) = (&leg.invite, &message);
+            let (a, b) = (&side.invite, &message);
             a.get("Call-ID") == b.get("Call-ID") && a.cseq() == b.cseq() && tag(a) == tag(b)
         };
-        if self.near.values().any(same) {
-            // The same request by another way round (RFC 3261, 8.2.2.2).
+        if self.caller_sides.values().any(same_request) {
+            // A merged request: the same INVITE arrived on another path (RFC 3261, section 8.2.2.2).
             let merged = Message::response(482, "Loop Detected", &message.headers);
             return self.respond(now, &key, merged, out);
         }
-        let id = CallId(self.token());
-        match self.read_request(&id, &message) {
+        let id = CallId(self.random_token());
+        match self.parse_call_request(&id, &message) {
             Ok(request) => {
-                let leg = NearLeg {
+                let side = CallerSide {
                     key: key.clone(),
                     invite: message,
                     hop,
-                    tag: self.token(),
+                    tag: self.random_token(),
                     success: None,
-                    acked: false,
-                    since: now,
-                    interval: T1,
-                    release: None,
+                    ack_received: false,
+                    answered_at: now,
+                    retransmit_interval: T1,
+                    pending_release_cause: None,
                 };
-                self.by_key.insert(key, id.clone());
-                self.near.insert(id, leg);
+                self.calls_by_server_key.insert(key, id.clone());
+                self.caller_sides.insert(id, side);
                 out.push(AgentOutput::CallTable(CallEvent::Request(request)));
             }
             Err((status, reason)) => {
@@ -346,29 +358,29 @@
         }
     }
 
-    /// Reads a caller's request; what is wrong with it maps to a final answer.
-    fn read_request(&self, id: &CallId, message: &Message) -> Result<Request, (u16, &'static str)> {
+    /// Parses a caller's INVITE. The error is the status code and reason phrase of the final response.
+    fn parse_call_request(&self, id: &CallId, message: &Message) -> Result<Request, (u16, &'static str)> {
         let StartLine::Request { uri, .. } = &message.start_line else { return Err((400, "Bad Request")) };
         let called = Uri::parse(uri).ok_or((416, "Unsupported URI Scheme"))?;
         if message.get("Contact").is_none() {
             return Err((400, "Missing Contact"));
         }
         let urgent = message.get("Priority").is_some_and(|p| p.trim().eq_ignore_ascii_case("emergency"));
-        let first = self.setup.classes.first().map(|c| c.name.as_str());
-        let by_priority = if urgent { Some(self.setup.urgent_class.as_str()) } else { first };
-        let class = message.get("X-Tier").or(by_priority).unwrap_or("");
-        let known = self.setup.classes.iter().find(|c| c.name == class);
+        let first_class = self.config.classes.first().map(|c| c.name.as_str());
+        let default_class = if urgent { Some(self.config.urgent_class.as_str()) } else { first_class };
+        let class = message.get("X-Tier").or(default_class).unwrap_or("");
+        let call_class = self.config.classes.iter().find(|c| c.name == class);
         let number_in = |name: &str| message.get(name).map(|v| v.trim().parse::<f64>());
         let ttl = match (number_in("X-Deadline"), number_in("Expires")) {
             (Some(Ok(ms)), _) if ms.is_finite() && ms >= 0.0 => ms / 1000.0,
-            // Callers may name any time in `Expires`; the class's own is the most.
-            (None, Some(Ok(s))) if s.is_finite() && s >= 0.0 => known.map_or(s, |c| s.min(c.give_up)),
-            (None, None) => known.map_or(0.0, |c| c.give_up),
+            // A caller may send any time in `Expires`, so it is limited to the time of the class.
+            (None, Some(Ok(s))) if s.is_finite() && s >= 0.0 => call_class.map_or(s, |c| s.min(c.give_up)),
+            (None, None) => call_class.map_or(0.0, |c| c.give_up),
             _ => return Err((400, "Bad Deadline")),
         };
-        let leads = |prefix: &&String| called.user.starts_with(prefix.as_str());
-        let longest = |e: &Exchange| e.prefixes.iter().filter(leads).map(String::len).max();
-        let exchanges = self.setup.exchanges.iter().filter_map(|e| Some((longest(e)?, e.number)));
+        let is_prefix = |prefix: &&String| called.user.starts_with(prefix.as_str());
+        let longest_match = |e: &Exchange| e.prefixes.iter().filter(is_prefix).map(String::len).max();
+        let exchanges = self.config.exchanges.iter().filter_map(|e| Some((longest_match(e)?, e.number)));
         let (_, dest) = exchanges.max_by_key(|(n, _)| *n).ok_or((404, "Not Found"))?;
         let from = message.get("From").map(header::addr_spec).and_then(Uri::parse).map(|uri| uri.host);
         Ok(Request {
@@ -381,7 +393,7 @@
             hop: None,
             re_established: false,
             redial: message.get("X-Resent").is_some_and(|v| v.trim() == "1"),
-            width: known.map_or(1, |c| c.width),
+            width: call_class.map_or(1, |c| c.width),
             dest,
             number: called.user.to_owned(),
             description: Arc::from(message.body.as_slice()),
@@ -390,17 +402,19 @@
 
     fn on_cancel(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<AgentOutput>) {
         let invite = TransactionKey { method: "INVITE".to_owned(), ..key.clone() };
-        let known = self.transactions.response_destination(&invite).is_some();
-        let (status, reason) = if known { (200, "OK") } else { (481, "Call/Transaction Does Not Exist") };
+        let exists = self.transactions.response_destination(&invite).is_some();
+        let (status, reason) = if exists { (200, "OK") } else { (481, "Call/Transaction Does Not Exist") };
         self.respond(now, key, Message::response(status, reason, &message.headers), out);
         if !self.transactions.awaits_final_response(&invite) {
             return;
         }
-        if let Some(id) = self.by_key.remove(&invite) {
-            if let Some(leg) = self.near.remove(&id) {
-                let gone =
-                    tagged(Message::response(487, "Request Terminated", &leg.invite.headers), &leg.tag);
-                self.respond(now, &invite, gone, out);
+        if let Some(id) = self.calls_by_server_key.remove(&invite) {
+            if let Some(side) = self.caller_sides.remove(&id) {
+                let terminated = with_to_tag(
+                    Message::response(487, "Request Terminated", &side.invite.headers),
+                    &side.tag,
+                );
+                self.respond(now, &invite, terminated, out);
             }
             out.push(AgentOutput::CallTable(CallEvent::CallerGaveUp(id)));
         }
@@ -408,13 +422,13 @@
 
     fn on_bye(&mut self, now: Time, key: &TransactionKey, message: &Message, out: &mut Vec<AgentOutput>) {
         let id = DialogId::of_request(message);
-        let (status, reason) = if let Some(call) = self.near_dialogs.remove(&id) {
-            self.forget_near(&call);
+        let (status, reason) = if let Some(call) = self.calls_by_dialog.remove(&id) {
+            self.remove_caller_side(&call);
             out.push(AgentOutput::CallTable(CallEvent::CallerReleased(call)));
             (200, "OK")
-        } else if let Some((call, leg)) = self.far_dialogs.remove(&id) {
+        } else if let Some((call, leg)) = self.attempts_by_dialog.remove(&id) {
             let whole = q850_cause(message).is_none_or(|cause| cause == 16);
-            if let Some(office) = self.forget_far(&(call.clone(), leg), out) {
+            if let Some(office) = self.remove_exchange_side(&(call.clone(), leg), out) {
                 let report = LoadReport::default();
                 out.push(AgentOutput::CallTable(CallEvent::ExchangeReleased {
                     id: call,
@@ -431,80 +445,82 @@
     }
 
     fn on_ack(&mut self, now: Time, message: &Message, out: &mut Vec<AgentOutput>) {
-        let Some(id) = self.near_dialogs.get(&DialogId::of_request(message)).cloned() else { return };
-        let Some(leg) = self.near.get_mut(&id) else { return };
-        leg.acked = true;
-        if let Some(cause) = leg.release.take() {
-            self.release_near(now, &id, cause, out);
+        let Some(id) = self.calls_by_dialog.get(&DialogId::of_request(message)).cloned() else { return };
+        let Some(side) = self.caller_sides.get_mut(&id) else { return };
+        side.ack_received = true;
+        if let Some(cause) = side.pending_release_cause.take() {
+            self.release_caller(now, &id, cause, out);
         }
     }
 
-    /// A success is sent again until its ACK comes, on TCP too (RFC 3261, 13.3.1.4); without one the call is
-    /// released.
-    fn unacknowledged(&mut self, now: Time, id: CallId, out: &mut Vec<AgentOutput>) {
-        let Some(leg) = self.near.get_mut(&id) else { return };
-        let (Some((success, _)), false) = (&leg.success, leg.acked) else { return };
-        if now - leg.since >= TRANSACTION_TIMEOUT {
-            let cause = leg.release.take();
+    /// Retransmits the 2xx response until its ACK arrives, over TCP as well (RFC 3261, section 13.3.1.4).
+    /// Without an ACK the call is released.
+    fn retransmit_success(&mut self, now: Time, id: CallId, out: &mut Vec<AgentOutput>) {
+        let Some(side) = self.caller_sides.get_mut(&id) else { return };
+        let (Some((success, _)), false) = (&side.success, side.ack_received) else { return };
+        if now - side.answered_at >= TRANSACTION_TIMEOUT {
+            let cause = side.pending_release_cause.take();
             if cause.is_none() {
                 out.push(AgentOutput::CallTable(CallEvent::CallerReleased(id.clone())));
             }
-            return self.release_near(now, &id, cause.unwrap_or(16), out);
+            return self.release_caller(now, &id, cause.unwrap_or(16), out);
         }
-        let (hop, alt) = self.transactions.response_destination(&leg.key).unwrap_or((leg.hop, None));
-        out.push(AgentOutput::Send(hop, alt, success.clone()));
-        leg.interval = (2.0 * leg.interval).min(T2);
-        out.push(AgentOutput::StartTimer(now + leg.interval, AgentTimer::RetransmitSuccess(id)));
+        let (hop, fallback) = self.transactions.response_destination(&side.key).unwrap_or((side.hop, None));
+        out.push(AgentOutput::Send(hop, fallback, success.clone()));
+        side.retransmit_interval = (2.0 * side.retransmit_interval).min(T2);
+        out.push(AgentOutput::StartTimer(now + side.retransmit_interval, AgentTimer::RetransmitSuccess(id)));
     }
 
-    fn forget_near(&mut self, id: &CallId) -> Option<NearLeg> {
-        let leg = self.near.remove(id)?;
-        self.by_key.remove(&leg.key);
-        if let Some((_, dialog)) = &leg.success {
-            self.near_dialogs.remove(&dialog.id);
+    fn remove_caller_side(&mut self, id: &CallId) -> Option<CallerSide> {
+        let side = self.caller_sides.remove(id)?;
+        self.calls_by_server_key.remove(&side.key);
+        if let Some((_, dialog)) = &side.success {
+            self.calls_by_dialog.remove(&dialog.id);
         }
-        Some(leg)
+        Some(side)
     }
 
-    fn release_near(&mut self, now: Time, id: &CallId, cause: u32, out: &mut Vec<AgentOutput>) {
-        let Some((_, dialog)) = self.forget_near(id).and_then(|leg| leg.success) else { return };
-        self.bye(now, dialog, cause, out);
+    fn release_caller(&mut self, now: Time, id: &CallId, cause: u32, out: &mut Vec<AgentOutput>) {
+        let Some((_, dialog)) = self.remove_caller_side(id).and_then(|side| side.success) else { return };
+        self.send_bye(now, dialog, cause, out);
     }
 
-    fn bye(&mut self, now: Time, mut dialog: Dialog, cause: u32, out: &mut Vec<AgentOutput>) {
-        let (hop, alt) = dialog.next_hop();
+    fn send_bye(&mut self, now: Time, mut dialog: Dialog, cause: u32, out: &mut Vec<AgentOutput>) {
+        let (hop, fallback) = dialog.next_hop();
         let via = self.via(hop.transport);
         let bye = dialog.next_request("BYE", &via).with("Reason", format_args!("Q.850;cause={cause}"));
         let mut sent = Vec::new();
-        self.with(&mut sent, |transactions, said| transactions.send_request(now, hop, bye, said));
-        // The first copy may take the connection that the dialog began on.
-        out.extend(sent.into_iter().map(|one| match one {
-            AgentOutput::Send(hop, _, message) => AgentOutput::Send(hop, alt, message),
+        self.with_transactions(&mut sent, |transactions, outputs| {
+            transactions.send_request(now, hop, bye, outputs)
+        });
+        // The first copy may use the connection on which the dialog was established.
+        out.extend(sent.into_iter().map(|output| match output {
+            AgentOutput::Send(hop, _, message) => AgentOutput::Send(hop, fallback, message),
             other => other,
         }));
     }
 
-    /// The core answers a caller.
+    /// Sends the response or release that the call table has for a caller.
     pub fn send_to_caller(&mut self, now: Time, id: CallId, near: CallerCommand, out: &mut Vec<AgentOutput>) {
-        let Some(leg) = self.near.get_mut(&id) else { return };
+        let Some(side) = self.caller_sides.get_mut(&id) else { return };
         let respond =
-            |status, reason| tagged(Message::response(status, reason, &leg.invite.headers), &leg.tag);
-        let answer = match near {
+            |status, reason| with_to_tag(Message::response(status, reason, &side.invite.headers), &side.tag);
+        let response = match near {
             CallerCommand::Answer(description) => {
-                let transport = leg.hop.transport;
+                let transport = side.hop.transport;
                 let mut success = respond(200, "OK");
                 let routes =
-                    leg.invite.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("Record-Route"));
+                    side.invite.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("Record-Route"));
                 success.headers.extend(routes.cloned());
-                return self.stands(now, id, success, transport, &description, out);
+                return self.answer_caller(now, id, success, transport, &description, out);
             }
             CallerCommand::Release { completed: whole } => {
                 let cause = if whole { 16 } else { 41 };
-                if leg.success.is_some() && !leg.acked {
-                    leg.release = Some(cause);
+                if side.success.is_some() && !side.ack_received {
+                    side.pending_release_cause = Some(cause);
                     return;
                 }
-                return self.release_near(now, &id, cause, out);
+                return self.release_caller(now, &id, cause, out);
             }
             CallerCommand::Refuse(None) => respond(480, "Temporarily Unavailable"),
             CallerCommand::Refuse(Some(wait)) => respond(480, "Temporarily Unavailable")
@@ -516,12 +532,12 @@
             CallerCommand::Reject(RejectReason::UnknownDestination) => respond(404, "Not Found"),
             CallerCommand::Reject(RejectReason::OutOfRange) => respond(400, "Bad Request"),
         };
-        if let Some(leg) = self.forget_near(&id) {
-            self.respond(now, &leg.key, answer, out);
+        if let Some(side) = self.remove_caller_side(&id) {
+            self.respond(now, &side.key, response, out);
         }
     }
 
-    fn stands(
+    fn answer_caller(
         &mut self,
         now: Time,
         id: CallId,
@@ -535,19 +551,19 @@
             success = success.with("Content-Type", "application/sdp");
             success.body = description.to_vec();
         }
-        let Some(leg) = self.near.get_mut(&id) else { return };
-        let Some(dialog) = Dialog::as_uas(&leg.invite, &leg.tag, leg.hop) else { return };
-        self.near_dialogs.insert(dialog.id.clone(), id.clone());
-        leg.success = Some((success.clone(), dialog));
-        leg.since = now;
-        let key = leg.key.clone();
+        let Some(side) = self.caller_sides.get_mut(&id) else { return };
+        let Some(dialog) = Dialog::as_uas(&side.invite, &side.tag, side.hop) else { return };
+        self.calls_by_dialog.insert(dialog.id.clone(), id.clone());
+        side.success = Some((success.clone(), dialog));
+        side.answered_at = now;
+        let key = side.key.clone();
         self.respond(now, &key, success, out);
         out.push(AgentOutput::StartTimer(now + T1, AgentTimer::RetransmitSuccess(id)));
     }
 
     // ---- Exchanges -----------------------------------------------------------------------------
 
-    /// The core tells an exchange.
+    /// Sends the set-up, cancellation or release that the call table has for an exchange.
     pub fn send_to_exchange(
         &mut self,
         now: Time,
@@ -559,17 +575,19 @@
         match far {
             ExchangeCommand::SetUp(set_up) => self.set_up(now, office, id, set_up, out),
             ExchangeCommand::CancelSetUp { leg } => {
-                let key = self.far.get(&(id, leg)).and_then(|leg| leg.key.clone());
+                let key = self.exchange_sides.get(&(id, leg)).and_then(|side| side.key.clone());
                 if let Some(key) = key {
-                    self.with(out, |transactions, said| transactions.cancel_invite(now, &key, said));
+                    self.with_transactions(out, |transactions, outputs| {
+                        transactions.cancel_invite(now, &key, outputs)
+                    });
                 }
             }
             ExchangeCommand::Release { leg } => {
                 let attempt = (id, leg.unwrap_or(0));
-                let dialog = self.far.get(&attempt).and_then(|leg| leg.dialog.clone());
-                self.forget_far(&attempt, out);
+                let dialog = self.exchange_sides.get(&attempt).and_then(|side| side.dialog.clone());
+                self.remove_exchange_side(&attempt, out);
                 if let Some(dialog) = dialog {
-                    self.bye(now, dialog, 16, out);
+                    self.send_bye(now, dialog, 16, out);
                 }
             }
         }
@@ -583,45 +601,49 @@
         set_up: SetUp,
         out: &mut Vec<AgentOutput>,
     ) {
-        let Some(hop) = self.setup.exchanges.iter().find(|e| e.id == office).map(|e| e.hop) else {
+        let Some(hop) = self.config.exchanges.iter().find(|e| e.id == office).map(|e| e.hop) else {
             return;
         };
         let (via, contact) = (self.via(hop.transport), self.contact(hop.transport));
-        let left = (set_up.abandon_at - now).max(0.0);
+        let remaining = (set_up.abandon_at - now).max(0.0);
         let to = format!("<sip:{}@{}>", set_up.number, hop.addr);
         let uri =
             format!("sip:{}@{};transport={}", set_up.number, hop.addr, hop.transport.name().to_lowercase());
-        let tag = self.token();
-        let from = format!("<sip:mallowring@{}>;tag={tag}", self.setup.addr);
+        let tag = self.random_token();
+        let from = format!("<sip:mallowring@{}>;tag={tag}", self.config.addr);
         let mut invite = Message::request("INVITE", &uri)
             .with("Via", via)
             .with("Max-Forwards", 70)
             .with("From", from)
             .with("To", to)
-            .with("Call-ID", format_args!("{}-{}@{}", id.0, set_up.leg, self.setup.addr.ip()))
+            .with("Call-ID", format_args!("{}-{}@{}", id.0, set_up.leg, self.config.addr.ip()))
             .with("CSeq", "1 INVITE")
             .with("Contact", contact)
             .with("Allow", ALLOW)
-            .with("Expires", left.ceil())
+            .with("Expires", remaining.ceil())
             .with("X-Tier", &set_up.class)
-            .with("X-Deadline", (left * 1000.0).round());
+            .with("X-Deadline", (remaining * 1000.0).round());
         if !set_up.description.is_empty() {
             invite = invite.with("Content-Type", "application/sdp");
             invite.body = set_up.description.to_vec();
         }
         let attempt = (id, set_up.leg);
-        *self.used.entry(office).or_insert(0) += set_up.width;
-        self.state(office, out);
-        let key = self.with(out, |transactions, said| transactions.send_request(now, hop, invite, said));
-        self.by_client.extend(key.clone().map(|key| (key, attempt.clone())));
-        self.far.insert(attempt, FarLeg { office, key, width: set_up.width, dialog: None, ack: None });
-    }
-
-    /// The state of a trunk group, as the circuits that calls take here leave it.
-    fn state(&self, office: ExchangeId, out: &mut Vec<AgentOutput>) {
-        let Some(exchange) = self.setup.exchanges.iter().find(|e| e.id == office) else { return };
-        let used = self.used.get(&office).copied().unwrap_or(0);
-        let free = f64::from(exchange.circuits.saturating_sub(used));
+        *self.circuits_in_use.entry(office).or_insert(0) += set_up.width;
+        self.report_trunk_group(office, out);
+        let key = self.with_transactions(out, |transactions, outputs| {
+            transactions.send_request(now, hop, invite, outputs)
+        });
+        self.attempts_by_client_key.extend(key.clone().map(|key| (key, attempt.clone())));
+        self.exchange_sides
+            .insert(attempt, ExchangeSide { office, key, width: set_up.width, dialog: None, ack: None });
+    }
+
+    /// Reports the free circuits of a trunk group, counting the circuits of the calls through this agent as
+    /// used.
+    fn report_trunk_group(&self, office: ExchangeId, out: &mut Vec<AgentOutput>) {
+        let Some(exchange) = self.config.exchanges.iter().find(|e| e.id == office) else { return };
+        let in_use = self.circuits_in_use.get(&office).copied().unwrap_or(0);
+        let free = f64::from(exchange.circuits.saturating_sub(in_use));
         let report = LoadReport {
             free_circuits: Some(free),
             group_size: Some(exchange.circuits.into()),
@@ -630,20 +652,20 @@
         out.push(AgentOutput::CallTable(CallEvent::Status { exchange: office, report }));
     }
 
-    /// Forgets an attempt and frees its circuits.
-    fn forget_far(&mut self, attempt: &Attempt, out: &mut Vec<AgentOutput>) -> Option<ExchangeId> {
-        let leg = self.far.remove(attempt)?;
-        if let Some(key) = &leg.key {
-            self.by_client.remove(key);
+    /// Removes an attempt and frees its circuits.
+    fn remove_exchange_side(&mut self, attempt: &Attempt, out: &mut Vec<AgentOutput>) -> Option<ExchangeId> {
+        let side = self.exchange_sides.remove(attempt)?;
+        if let Some(key) = &side.key {
+            self.attempts_by_client_key.remove(key);
         }
-        if let Some(dialog) = &leg.dialog {
-            self.far_dialogs.remove(&dialog.id);
+        if let Some(dialog) = &side.dialog {
+            self.attempts_by_dialog.remove(&dialog.id);
         }
-        if let Some(used) = self.used.get_mut(&leg.office) {
-            *used = used.saturating_sub(leg.width);
+        if let Some(in_use) = self.circuits_in_use.get_mut(&side.office) {
+            *in_use = in_use.saturating_sub(side.width);
         }
-        self.state(leg.office, out);
-        Some(leg.office)
+        self.report_trunk_group(side.office, out);
+        Some(side.office)
     }
 
     fn on_response(&mut self, now: Time, key: &TransactionKey, message: Message, out: &mut Vec<AgentOutput>) {
@@ -651,27 +673,28 @@
         if key.method != "INVITE" {
             return;
         }
-        let attempt = self.by_client.get(key).cloned();
+        let attempt = self.attempts_by_client_key.get(key).cloned();
         match status {
             100..=199 => {
-                let near = attempt.as_ref().and_then(|(id, _)| self.near.get(id));
-                if let (Some(leg), 180..) = (near.filter(|leg| leg.success.is_none()), status) {
-                    let ringing = tagged(Message::response(180, "Ringing", &leg.invite.headers), &leg.tag);
-                    let (key, contact) = (leg.key.clone(), self.contact(leg.hop.transport));
+                let caller_side = attempt.as_ref().and_then(|(id, _)| self.caller_sides.get(id));
+                if let (Some(side), 180..) = (caller_side.filter(|side| side.success.is_none()), status) {
+                    let ringing =
+                        with_to_tag(Message::response(180, "Ringing", &side.invite.headers), &side.tag);
+                    let (key, contact) = (side.key.clone(), self.contact(side.hop.transport));
                     self.respond(now, &key, ringing.with("Contact", contact), out);
                 }
             }
             200..=299 => self.on_success(now, attempt, message, out),
             _ => {
                 let Some((id, leg)) = attempt else { return };
-                let noted = message.get("X-Outcome");
+                let x_outcome = message.get("X-Outcome");
                 let (outcome, why) = match status {
-                    _ if noted.is_some() => failure_outcome(status, noted),
+                    _ if x_outcome.is_some() => failure_outcome(status, x_outcome),
                     486 | 600 => (Outcome::Error, Cause::LinesBusy),
                     503 => (Outcome::Refused, Cause::ProcessorFull),
                     _ => failure_outcome(status, None),
                 };
-                if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
+                if let Some(office) = self.remove_exchange_side(&(id.clone(), leg), out) {
                     let (leg, report) = (Some(leg), LoadReport::default());
                     out.push(AgentOutput::CallTable(CallEvent::SetUpFailed {
                         id,
@@ -693,38 +716,42 @@
         message: Message,
         out: &mut Vec<AgentOutput>,
     ) {
-        let via_hop = message.get("Via").and_then(Via::parse).and_then(|via| Transport::parse(via.transport));
-        let leg = attempt.as_ref().and_then(|attempt| self.far.get(attempt));
-        let hop = leg.and_then(|leg| self.setup.exchanges.iter().find(|e| e.id == leg.office)).map(|e| e.hop);
+        let via_transport =
+            message.get("Via").and_then(Via::parse).and_then(|via| Transport::parse(via.transport));
+        let side = attempt.as_ref().and_then(|attempt| self.exchange_sides.get(attempt));
+        let hop =
+            side.and_then(|side| self.config.exchanges.iter().find(|e| e.id == side.office)).map(|e| e.hop);
         let contact =
             message.get("Contact").map(header::addr_spec).and_then(Uri::parse).and_then(|uri| uri.hop());
         let Some(hop) = hop.or(contact) else { return };
         let Some(dialog) = Dialog::as_uac(&message, hop) else {
-            tracing::warn!("a success without Contact can't be acknowledged");
+            tracing::warn!("2xx response without Contact cannot be acknowledged");
             return;
         };
-        let (way, alt) = dialog.next_hop();
-        if let Some(leg) = leg {
-            match (&leg.dialog, &leg.ack) {
-                (Some(held), Some(ack)) if held.id == dialog.id => {
-                    out.push(AgentOutput::Send(way, alt, ack.clone()));
+        let (next_hop, fallback) = dialog.next_hop();
+        if let Some(side) = side {
+            match (&side.dialog, &side.ack) {
+                (Some(established), Some(ack)) if established.id == dialog.id => {
+                    out.push(AgentOutput::Send(next_hop, fallback, ack.clone()));
                     return;
                 }
                 _ => {}
             }
         }
-        let via = self.via(via_hop.unwrap_or(hop.transport));
+        let via = self.via(via_transport.unwrap_or(hop.transport));
         let ack = dialog.ack(&message, &via);
-        out.push(AgentOutput::Send(way, alt, ack.clone()));
-        let wanted = attempt.filter(|attempt| self.far.get(attempt).is_some_and(|leg| leg.dialog.is_none()));
-        let Some(attempt) = wanted else {
-            // Of a fork, or later than anybody remembers: it must not be left standing.
-            return self.bye(now, dialog, 16, out);
+        out.push(AgentOutput::Send(next_hop, fallback, ack.clone()));
+        let unanswered_attempt = attempt
+            .filter(|attempt| self.exchange_sides.get(attempt).is_some_and(|side| side.dialog.is_none()));
+        let Some(attempt) = unanswered_attempt else {
+            // A 2xx response of a forked INVITE or of an attempt that no longer exists: its call must be
+            // released.
+            return self.send_bye(now, dialog, 16, out);
         };
-        let Some(leg) = self.far.get_mut(&attempt) else { return };
-        self.far_dialogs.insert(dialog.id.clone(), attempt.clone());
-        (leg.dialog, leg.ack) = (Some(dialog), Some(ack));
-        let (office, description) = (leg.office, Arc::from(message.body));
+        let Some(side) = self.exchange_sides.get_mut(&attempt) else { return };
+        self.attempts_by_dialog.insert(dialog.id.clone(), attempt.clone());
+        (side.dialog, side.ack) = (Some(dialog), Some(ack));
+        let (office, description) = (side.office, Arc::from(message.body));
         let (id, leg) = attempt;
         out.push(AgentOutput::CallTable(CallEvent::Answered {
             id,
@@ -735,13 +762,13 @@
     }
 
     fn on_failed(&mut self, key: &TransactionKey, failure: TransactionFailure, out: &mut Vec<AgentOutput>) {
-        let Some((id, leg)) = self.by_client.get(key).cloned() else { return };
+        let Some((id, leg)) = self.attempts_by_client_key.get(key).cloned() else { return };
         let outcome = match failure {
             TransactionFailure::Timeout => Outcome::TimedOut,
             TransactionFailure::Unreachable => Outcome::ConnectFailed,
             TransactionFailure::ConnectionLost => Outcome::Reset,
         };
-        if let Some(office) = self.forget_far(&(id.clone(), leg), out) {
+        if let Some(office) = self.remove_exchange_side(&(id.clone(), leg), out) {
             let (leg, why, report) = (Some(leg), Cause::Unspecified, LoadReport::default());
             out.push(AgentOutput::CallTable(CallEvent::SetUpFailed {
                 id,
@@ -755,8 +782,8 @@
     }
 }
 
-/// The same with our tag in its To.
-fn tagged(mut message: Message, tag: &str) -> Message {
+/// Adds the local tag to the To header if it has none.
+fn with_to_tag(mut message: Message, tag: &str) -> Message {
     if let Some((_, to)) = message.headers.iter_mut().find(|(name, _)| name.eq_ignore_ascii_case("To")) {
         if header::tag(to).is_none() {
             to.push_str(";tag=");
--- a/src/sip/dialog.rs
+++ b/src/sip/dialog.rs
@@ -1,5 +1,5 @@
-//! Dialogs (RFC 3261, section 12). A dialog does not depend on a transport: each of its requests may arrive over
-//! another one.
+//! Dialogs (RFC 3261, section 12). A dialog does not depend on a transport: each of its requests may arrive
+//! over another one.
 
 use super::header::{self, Hop, Uri};
 use super::message::Message;
@@ -60,7 +60,8 @@
 }
 
 impl Dialog {
-    /// Creates the dialog that a 2xx response to a received INVITE establishes (UAS, RFC 3261, section 12.1.1).
+    /// Creates the dialog that a 2xx response to a received INVITE establishes (UAS, RFC 3261, section
+    /// 12.1.1).
     pub fn as_uas(invite: &Message, local_tag: &str, source: Hop) -> Option<Dialog> {
         let mut id = DialogId::of_request(invite);
         id.local_tag = local_tag.to_owned();
@@ -76,7 +77,8 @@
         })
     }
 
-    /// Creates the dialog that a received 2xx response to an INVITE establishes (UAC, RFC 3261, section 12.1.2).
+    /// Creates the dialog that a received 2xx response to an INVITE establishes (UAC, RFC 3261, section
+    /// 12.1.2).
     pub fn as_uac(success: &Message, initial_hop: Hop) -> Option<Dialog> {
         let mut route_set = record_routes(success);
         route_set.reverse();
@@ -96,8 +98,8 @@
         })
     }
 
-    /// Returns the next hop of requests in this dialog, and the hop on which the dialog was established as a fallback
-    /// for when no connection can be made.
+    /// Returns the next hop of requests in this dialog, and the hop on which the dialog was established as a
+    /// fallback for when no connection can be made.
     pub fn next_hop(&self) -> (Hop, Option<Hop>) {
         let next =
             self.route_set.first().map_or(self.remote_target.as_str(), |route| header::addr_spec(route));
@@ -121,8 +123,8 @@
         self.request_with_cseq(method, via, self.local_cseq)
     }
 
-    /// Creates the ACK of the 2xx response that established the dialog. It carries the CSeq number of the INVITE
-    /// (RFC 3261, section 13.2.2.4).
+    /// Creates the ACK of the 2xx response that established the dialog. It carries the CSeq number of the
+    /// INVITE (RFC 3261, section 13.2.2.4).
     pub fn ack(&self, success: &Message, via: &str) -> Message {
         self.request_with_cseq("ACK", via, success.cseq().map_or(1, |(n, _)| n))
     }
--- a/src/sip/header.rs
+++ b/src/sip/header.rs
@@ -1,4 +1,5 @@
-//! Parsing of the header values that transactions and dialogs depend on: Via, From, To, Contact and their URIs.
+//! Parsing of the header values that transactions and dialogs depend on: Via, From, To, Contact and their
+//! URIs.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -30,7 +31,8 @@
     }
 }
 
-/// The source or the destination of a message. For TCP, the address is that of the remote end of the connection.
+/// The source or the destination of a message. For TCP, the address is that of the remote end of the
+/// connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Hop {
     /// The transport protocol.
@@ -42,7 +44,8 @@
 /// The default port for SIP over UDP and TCP (RFC 3261, section 19.1.2).
 pub const DEFAULT_PORT: u16 = 5060;
 
-/// Returns the first value of a comma-separated header. Commas inside quotes or angle brackets do not separate values.
+/// Returns the first value of a comma-separated header. Commas inside quotes or angle brackets do not
+/// separate values.
 pub fn first_value(value: &str) -> &str {
     let (mut quoted, mut depth) = (false, 0_u32);
     for (ix, byte) in value.bytes().enumerate() {
@@ -57,7 +60,8 @@
     value.trim()
 }
 
-/// Returns the value of a parameter that follows a semicolon, or an empty string for a parameter without a value.
+/// Returns the value of a parameter that follows a semicolon, or an empty string for a parameter without a
+/// value.
 pub fn parameter<'a>(value: &'a str, name: &str) -> Option<&'a str> {
     value.split(';').skip(1).find_map(|p| {
         let (n, v) = p.split_once('=').unwrap_or((p, ""));
--- a/src/sip/message.rs
+++ b/src/sip/message.rs
@@ -187,8 +187,8 @@
     })
 }
 
-/// Parses the headers and the `Content-Length`. Only an invalid or contradictory `Content-Length` is an error, since
-/// it leaves the bounds of the message unknown; other faults are left for [`parse_message`].
+/// Parses the headers and the `Content-Length`. Only an invalid or contradictory `Content-Length` is an
+/// error, since it leaves the bounds of the message unknown; other faults are left for [`parse_message`].
 fn parse_headers(head: &[u8]) -> Result<(Headers, Option<usize>), FramingError> {
     let text = String::from_utf8_lossy(head);
     let mut headers: Headers = Vec::new();
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -1,5 +1,5 @@
-//! SIP without sockets (RFC 3261): messages and their framing on a stream, transactions, dialogs, and the agent that
-//! connects them to the call table.
+//! SIP without sockets (RFC 3261): messages and their framing on a stream, transactions, dialogs, and the
+//! agent that connects them to the call table.
 
 pub mod agent;
 pub mod dialog;
@@ -10,7 +10,8 @@
 use crate::interface::{Cause, Outcome};
 use message::Message;
 
-/// Maps the failure response of an exchange, its status code and `X-Outcome` header, to the outcome of the attempt.
+/// Maps the failure response of an exchange, its status code and `X-Outcome` header, to the outcome of the
+/// attempt.
 pub(crate) fn failure_outcome(status: u16, x_outcome: Option<&str>) -> (Outcome, Cause) {
     let outcome = match status {
         503 => Outcome::Refused,
--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -1,8 +1,10 @@
-//! The transaction layer (RFC 3261, section 17, and RFC 6026) for clients and servers, without sockets or clock. The
-//! same state machines serve UDP and TCP; the transport only decides whether messages are retransmitted.
+//! The transaction layer (RFC 3261, section 17, and RFC 6026) for clients and servers, without sockets or
+//! clock. The same state machines serve UDP and TCP; the transport only decides whether messages are
+//! retransmitted.
 //!
-//! A transaction is identified by its branch and not by its transport. It is kept on TCP for as long as on UDP, so that
-//! a request repeated over UDP after a TCP reset matches its transaction and does not set up a second call.
+//! A transaction is identified by its branch and not by its transport. It is kept on TCP for as long as on
+//! UDP, so that a request repeated over UDP after a TCP reset matches its transaction and does not set up a
+//! second call.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +20,8 @@
 pub const T4: Secs = 5.0;
 /// Duration in seconds of timers B, D, F, H, J, L and M (RFC 3261, appendix A, and RFC 6026).
 pub const TRANSACTION_TIMEOUT: Secs = 64.0 * T1;
-/// Maximum number of transactions. At this limit a new request is answered with 503 and creates no transaction.
+/// Maximum number of transactions. At this limit a new request is answered with 503 and creates no
+/// transaction.
 pub const MAX_TRANSACTIONS: usize = 20_000;
 
 /// The identifier of a transaction (RFC 3261, sections 17.1.3 and 17.2.3). An ACK has the key of its INVITE.
@@ -74,8 +77,8 @@
 enum State {
     /// No final response was sent or received.
     Proceeding,
-    /// The final response was sent or received, and is not a 2xx response to INVITE. A server answers a repeated
-    /// request with it.
+    /// The final response was sent or received, and is not a 2xx response to INVITE. A server answers a
+    /// repeated request with it.
     Completed,
     /// The ACK of a final response other than 2xx was received.
     Confirmed,
@@ -100,7 +103,8 @@
     state: State,
     /// Whether a provisional response was received.
     provisional_received: bool,
-    /// Whether the outcome is no longer needed. An INVITE is then cancelled as soon as RFC 3261, section 9.1 allows.
+    /// Whether the outcome is no longer needed. An INVITE is then cancelled as soon as RFC 3261, section 9.1
+    /// allows.
     cancelled: bool,
     /// Whether the final outcome was reported to the agent.
     outcome_reported: bool,
@@ -140,8 +144,8 @@
     Some(TransactionKey { branch, sent_by: via.sent_by.to_ascii_lowercase(), method })
 }
 
-/// Adds the source address to the topmost Via of a request (RFC 3261, section 18.2.1, and RFC 3581). Returns the hop
-/// for its responses, and for TCP the fallback hop (RFC 3261, section 18.2.2).
+/// Adds the source address to the topmost Via of a request (RFC 3261, section 18.2.1, and RFC 3581). Returns
+/// the hop for its responses, and for TCP the fallback hop (RFC 3261, section 18.2.2).
 fn mark_source(request: &mut Message, source: Hop) -> Option<(Hop, Option<Hop>)> {
     let (_, value) = request.headers.iter_mut().find(|(name, _)| name.eq_ignore_ascii_case("Via"))?;
     let top_via = header::first_value(value).to_owned();
@@ -209,7 +213,8 @@
             }
             None if is_ack => out.push(TransactionOutput::Ack(message)),
             Some(server) => {
-                // A retransmission may arrive over another transport: the last response goes back over that one.
+                // A retransmission may arrive over another transport: the last response goes back over that
+                // one.
                 (server.hop, server.fallback) = (hop, fallback);
                 if matches!(server.state, State::Proceeding | State::Completed) {
                     out.extend(
@@ -323,9 +328,9 @@
         Some(key)
     }
 
-    /// Cancels an INVITE: at once if a provisional response was received, else when the first one arrives (RFC 3261,
-    /// section 9.1). The INVITE is not retransmitted any more. Its transaction is kept for a final response that
-    /// crosses the CANCEL.
+    /// Cancels an INVITE: at once if a provisional response was received, else when the first one arrives
+    /// (RFC 3261, section 9.1). The INVITE is not retransmitted any more. Its transaction is kept for a final
+    /// response that crosses the CANCEL.
     pub fn cancel_invite(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.state != State::Proceeding || std::mem::replace(&mut client.cancelled, true) {
@@ -434,8 +439,8 @@
         }
     }
 
-    /// Handles a connection that was lost or could not be made: client transactions waiting on it fail. Server
-    /// transactions do not depend on their connection, because their responses can take another one.
+    /// Handles a connection that was lost or could not be made: client transactions waiting on it fail.
+    /// Server transactions do not depend on their connection, because their responses can take another one.
     pub fn on_connection_failed(
         &mut self,
         now: Time,
@@ -467,8 +472,8 @@
     Some(TransactionKey { branch, sent_by: String::new(), method })
 }
 
-/// Creates the CANCEL of an INVITE, or the ACK of its final response other than 2xx (RFC 3261, sections 9.1 and
-/// 17.1.1.3).
+/// Creates the CANCEL of an INVITE, or the ACK of its final response other than 2xx (RFC 3261, sections 9.1
+/// and 17.1.1.3).
 fn request_like_invite(invite: &Message, method: &str, to: Option<&str>) -> Message {
     let uri = match &invite.start_line {
         super::message::StartLine::Request { uri, .. } => uri,
