--- a/src/sip/message.rs
+++ b/src/sip/message.rs
@@ -50,7 +50,8 @@
     pub is_response: bool,
 }
 
-/// The bounds of the next message on a stream cannot be determined, so the stream must be closed.
+/// Reports that the bounds of the next message on a stream cannot be determined, so the stream must be
+/// closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("framing lost: {0}")]
 pub struct FramingError(pub &'static str);
@@ -86,10 +87,10 @@
     }
 
     /// Creates a response with the headers copied from the request that RFC 3261, section 8.2.6.2 requires.
-    pub fn response(status: u16, reason: &str, to: &[(String, String)]) -> Self {
+    pub fn response(status: u16, reason: &str, request_headers: &[(String, String)]) -> Self {
         let copied = ["Via", "From", "To", "Call-ID", "CSeq"];
-        let copy = |(n, _): &&(String, String)| copied.iter().any(|c| n.eq_ignore_ascii_case(c));
-        let headers = to.iter().filter(copy).cloned().collect();
+        let is_copied = |(n, _): &&(String, String)| copied.iter().any(|c| n.eq_ignore_ascii_case(c));
+        let headers = request_headers.iter().filter(is_copied).cloned().collect();
         Message {
             start_line: StartLine::Response { status, reason: reason.to_owned() },
             headers,
@@ -154,15 +155,15 @@
     /// Parses a datagram. Without a `Content-Length` the body extends to the end of the datagram (RFC 3261,
     /// section 18.3).
     pub fn parse_datagram(bytes: &[u8]) -> Result<Message, MalformedMessage> {
-        let bare = |problem| MalformedMessage {
+        let without_headers = |problem| MalformedMessage {
             problem,
             headers: Vec::new(),
             is_response: bytes.starts_with(b"SIP/"),
         };
         let Some((head, body)) = split_head(bytes) else {
-            return Err(bare("the header section does not end"));
+            return Err(without_headers("the header section does not end"));
         };
-        let (headers, length) = parse_headers(head).map_err(|error| bare(error.0))?;
+        let (headers, length) = parse_headers(head).map_err(|error| without_headers(error.0))?;
         let body = &bytes[body..];
         let length = length.unwrap_or(body.len());
         match body.get(..length) {
@@ -172,6 +173,7 @@
     }
 }
 
+/// Names and values of headers in the order received.
 type Headers = Vec<(String, String)>;
 
 fn malformed(problem: &'static str, head: &[u8], headers: Headers) -> MalformedMessage {
@@ -265,6 +267,7 @@
 /// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct Framer {
+    /// Received bytes that no message was taken from.
     buffer: Vec<u8>,
     /// Remaining bytes of an oversized body that are skipped as they arrive.
     bytes_to_skip: usize,
--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -2,9 +2,9 @@
 //! clock. The same state machines serve UDP and TCP; the transport only decides whether messages are
 //! retransmitted.
 //!
-//! A transaction is identified by its branch and not by its transport. It is kept on TCP for as long as on
-//! UDP, so that a request repeated over UDP after a TCP reset matches its transaction and does not set up a
-//! second call.
+//! A transaction is identified by its branch and not by its transport. A transaction is kept on TCP for as
+//! long as on UDP, so that a request repeated over UDP after a TCP reset matches its transaction and does not
+//! set up a second call.
 
 use std::collections::BTreeMap;
 
@@ -156,13 +156,13 @@
         Transport::Udp if !via.rport => sent_by_hop,
         _ => source,
     };
-    let mut parameters: Vec<String> = top_via.split(';').map(|p| p.trim().to_owned()).collect();
-    parameters.retain(|p| !p.starts_with("received=") && !p.starts_with("rport"));
-    parameters.push(format!("received={}", source.addr.ip()));
+    let mut parts: Vec<String> = top_via.split(';').map(|p| p.trim().to_owned()).collect();
+    parts.retain(|p| !p.starts_with("received=") && !p.starts_with("rport"));
+    parts.push(format!("received={}", source.addr.ip()));
     if via.rport {
-        parameters.push(format!("rport={}", source.addr.port()));
+        parts.push(format!("rport={}", source.addr.port()));
     }
-    *value = parameters.join(";") + &rest;
+    *value = parts.join(";") + &rest;
     Some((hop, (source.transport == Transport::Tcp).then_some(sent_by_hop)))
 }
 
