--- a/src/sip/message.rs
+++ b/src/sip/message.rs
@@ -267,7 +267,7 @@
 /// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct Framer {
-    /// Received bytes that no message was taken from.
+    /// Received bytes that no returned message contains yet.
     buffer: Vec<u8>,
     /// Remaining bytes of an oversized body that are skipped as they arrive.
     bytes_to_skip: usize,
