--- a/src/sip/agent.rs
+++ b/src/sip/agent.rs
@@ -90,7 +90,7 @@
     Send(Hop, Option<Hop>, Message),
     /// Start a timer that expires at the given time.
     StartTimer(Time, AgentTimer),
-    /// Pass an input to the call table.
+    /// Pass an event to the call table.
     CallTable(CallEvent),
 }
 
@@ -115,7 +115,7 @@
 /// The exchange side of one attempt.
 #[derive(Debug)]
 struct ExchangeSide {
-    office: ExchangeId,
+    exchange: ExchangeId,
     key: Option<TransactionKey>,
     width: u32,
     dialog: Option<Dialog>,
@@ -163,8 +163,8 @@
 
     /// Passes the roster entries of the exchanges and the state of their trunk groups to the call table.
     pub fn start(&self, out: &mut Vec<AgentOutput>) {
-        let offices = self.config.exchanges.iter().map(Exchange::roster_entry).collect();
-        out.push(AgentOutput::CallTable(CallEvent::Roster { full: false, entries: offices }));
+        let entries = self.config.exchanges.iter().map(Exchange::roster_entry).collect();
+        out.push(AgentOutput::CallTable(CallEvent::Roster { full: false, entries }));
         for exchange in &self.config.exchanges {
             self.report_trunk_group(exchange.id, out);
         }
@@ -427,13 +427,13 @@
             out.push(AgentOutput::CallTable(CallEvent::CallerReleased(call)));
             (200, "OK")
         } else if let Some((call, leg)) = self.attempts_by_dialog.remove(&id) {
-            let whole = q850_cause(message).is_none_or(|cause| cause == 16);
-            if let Some(office) = self.remove_exchange_side(&(call.clone(), leg), out) {
+            let completed = q850_cause(message).is_none_or(|cause| cause == 16);
+            if let Some(exchange) = self.remove_exchange_side(&(call.clone(), leg), out) {
                 let report = LoadReport::default();
                 out.push(AgentOutput::CallTable(CallEvent::ExchangeReleased {
                     id: call,
-                    exchange: office,
-                    completed: whole,
+                    exchange,
+                    completed,
                     report,
                 }));
             }
@@ -501,11 +501,17 @@
     }
 
     /// Sends the response or release that the call table has for a caller.
-    pub fn send_to_caller(&mut self, now: Time, id: CallId, near: CallerCommand, out: &mut Vec<AgentOutput>) {
+    pub fn send_to_caller(
+        &mut self,
+        now: Time,
+        id: CallId,
+        command: CallerCommand,
+        out: &mut Vec<AgentOutput>,
+    ) {
         let Some(side) = self.caller_sides.get_mut(&id) else { return };
         let respond =
             |status, reason| with_to_tag(Message::response(status, reason, &side.invite.headers), &side.tag);
-        let response = match near {
+        let response = match command {
             CallerCommand::Answer(description) => {
                 let transport = side.hop.transport;
                 let mut success = respond(200, "OK");
@@ -514,8 +520,8 @@
                 success.headers.extend(routes.cloned());
                 return self.answer_caller(now, id, success, transport, &description, out);
             }
-            CallerCommand::Release { completed: whole } => {
-                let cause = if whole { 16 } else { 41 };
+            CallerCommand::Release { completed } => {
+                let cause = if completed { 16 } else { 41 };
                 if side.success.is_some() && !side.ack_received {
                     side.pending_release_cause = Some(cause);
                     return;
@@ -567,13 +573,13 @@
     pub fn send_to_exchange(
         &mut self,
         now: Time,
-        office: ExchangeId,
+        exchange: ExchangeId,
         id: CallId,
-        far: ExchangeCommand,
+        command: ExchangeCommand,
         out: &mut Vec<AgentOutput>,
     ) {
-        match far {
-            ExchangeCommand::SetUp(set_up) => self.set_up(now, office, id, set_up, out),
+        match command {
+            ExchangeCommand::SetUp(set_up) => self.set_up(now, exchange, id, set_up, out),
             ExchangeCommand::CancelSetUp { leg } => {
                 let key = self.exchange_sides.get(&(id, leg)).and_then(|side| side.key.clone());
                 if let Some(key) = key {
@@ -596,12 +602,12 @@
     fn set_up(
         &mut self,
         now: Time,
-        office: ExchangeId,
+        exchange: ExchangeId,
         id: CallId,
         set_up: SetUp,
         out: &mut Vec<AgentOutput>,
     ) {
-        let Some(hop) = self.config.exchanges.iter().find(|e| e.id == office).map(|e| e.hop) else {
+        let Some(hop) = self.config.exchanges.iter().find(|e| e.id == exchange).map(|e| e.hop) else {
             return;
         };
         let (via, contact) = (self.via(hop.transport), self.contact(hop.transport));
@@ -628,28 +634,28 @@
             invite.body = set_up.description.to_vec();
         }
         let attempt = (id, set_up.leg);
-        *self.circuits_in_use.entry(office).or_insert(0) += set_up.width;
-        self.report_trunk_group(office, out);
+        *self.circuits_in_use.entry(exchange).or_insert(0) += set_up.width;
+        self.report_trunk_group(exchange, out);
         let key = self.with_transactions(out, |transactions, outputs| {
             transactions.send_request(now, hop, invite, outputs)
         });
         self.attempts_by_client_key.extend(key.clone().map(|key| (key, attempt.clone())));
         self.exchange_sides
-            .insert(attempt, ExchangeSide { office, key, width: set_up.width, dialog: None, ack: None });
+            .insert(attempt, ExchangeSide { exchange, key, width: set_up.width, dialog: None, ack: None });
     }
 
     /// Reports the free circuits of a trunk group, counting the circuits of the calls through this agent as
     /// used.
-    fn report_trunk_group(&self, office: ExchangeId, out: &mut Vec<AgentOutput>) {
-        let Some(exchange) = self.config.exchanges.iter().find(|e| e.id == office) else { return };
-        let in_use = self.circuits_in_use.get(&office).copied().unwrap_or(0);
-        let free = f64::from(exchange.circuits.saturating_sub(in_use));
+    fn report_trunk_group(&self, exchange: ExchangeId, out: &mut Vec<AgentOutput>) {
+        let Some(trunk_group) = self.config.exchanges.iter().find(|e| e.id == exchange) else { return };
+        let in_use = self.circuits_in_use.get(&exchange).copied().unwrap_or(0);
+        let free = f64::from(trunk_group.circuits.saturating_sub(in_use));
         let report = LoadReport {
             free_circuits: Some(free),
-            group_size: Some(exchange.circuits.into()),
+            group_size: Some(trunk_group.circuits.into()),
             ..LoadReport::default()
         };
-        out.push(AgentOutput::CallTable(CallEvent::Status { exchange: office, report }));
+        out.push(AgentOutput::CallTable(CallEvent::Status { exchange, report }));
     }
 
     /// Removes an attempt and frees its circuits.
@@ -661,11 +667,11 @@
         if let Some(dialog) = &side.dialog {
             self.attempts_by_dialog.remove(&dialog.id);
         }
-        if let Some(in_use) = self.circuits_in_use.get_mut(&side.office) {
+        if let Some(in_use) = self.circuits_in_use.get_mut(&side.exchange) {
             *in_use = in_use.saturating_sub(side.width);
         }
-        self.report_trunk_group(side.office, out);
-        Some(side.office)
+        self.report_trunk_group(side.exchange, out);
+        Some(side.exchange)
     }
 
     fn on_response(&mut self, now: Time, key: &TransactionKey, message: Message, out: &mut Vec<AgentOutput>) {
@@ -688,20 +694,20 @@
             _ => {
                 let Some((id, leg)) = attempt else { return };
                 let x_outcome = message.get("X-Outcome");
-                let (outcome, why) = match status {
+                let (outcome, cause) = match status {
                     _ if x_outcome.is_some() => failure_outcome(status, x_outcome),
                     486 | 600 => (Outcome::Error, Cause::LinesBusy),
                     503 => (Outcome::Refused, Cause::ProcessorFull),
                     _ => failure_outcome(status, None),
                 };
-                if let Some(office) = self.remove_exchange_side(&(id.clone(), leg), out) {
+                if let Some(exchange) = self.remove_exchange_side(&(id.clone(), leg), out) {
                     let (leg, report) = (Some(leg), LoadReport::default());
                     out.push(AgentOutput::CallTable(CallEvent::SetUpFailed {
                         id,
-                        exchange: office,
+                        exchange,
                         leg,
                         outcome,
-                        cause: why,
+                        cause,
                         report,
                     }));
                 }
@@ -720,7 +726,7 @@
             message.get("Via").and_then(Via::parse).and_then(|via| Transport::parse(via.transport));
         let side = attempt.as_ref().and_then(|attempt| self.exchange_sides.get(attempt));
         let hop =
-            side.and_then(|side| self.config.exchanges.iter().find(|e| e.id == side.office)).map(|e| e.hop);
+            side.and_then(|side| self.config.exchanges.iter().find(|e| e.id == side.exchange)).map(|e| e.hop);
         let contact =
             message.get("Contact").map(header::addr_spec).and_then(Uri::parse).and_then(|uri| uri.hop());
         let Some(hop) = hop.or(contact) else { return };
@@ -751,14 +757,9 @@
         let Some(side) = self.exchange_sides.get_mut(&attempt) else { return };
         self.attempts_by_dialog.insert(dialog.id.clone(), attempt.clone());
         (side.dialog, side.ack) = (Some(dialog), Some(ack));
-        let (office, description) = (side.office, Arc::from(message.body));
+        let (exchange, description) = (side.exchange, Arc::from(message.body));
         let (id, leg) = attempt;
-        out.push(AgentOutput::CallTable(CallEvent::Answered {
-            id,
-            exchange: office,
-            leg: Some(leg),
-            description,
-        }));
+        out.push(AgentOutput::CallTable(CallEvent::Answered { id, exchange, leg: Some(leg), description }));
     }
 
     fn on_failed(&mut self, key: &TransactionKey, failure: TransactionFailure, out: &mut Vec<AgentOutput>) {
@@ -768,14 +769,14 @@
             TransactionFailure::Unreachable => Outcome::ConnectFailed,
             TransactionFailure::ConnectionLost => Outcome::Reset,
         };
-        if let Some(office) = self.remove_exchange_side(&(id.clone(), leg), out) {
-            let (leg, why, report) = (Some(leg), Cause::Unspecified, LoadReport::default());
+        if let Some(exchange) = self.remove_exchange_side(&(id.clone(), leg), out) {
+            let (leg, cause, report) = (Some(leg), Cause::Unspecified, LoadReport::default());
             out.push(AgentOutput::CallTable(CallEvent::SetUpFailed {
                 id,
-                exchange: office,
+                exchange,
                 leg,
                 outcome,
-                cause: why,
+                cause,
                 report,
             }));
         }
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -21,7 +21,7 @@
         408 => Outcome::TimedOut,
         _ => Outcome::Error,
     };
-    let why = match x_outcome.map(str::trim) {
+    let cause = match x_outcome.map(str::trim) {
         Some("no_circuit") => Cause::NoCircuit,
         Some("turned_back") => Cause::Crankback,
         Some("far_overload") => Cause::FarProcessorFull,
@@ -29,7 +29,7 @@
         Some("lines_busy") => Cause::LinesBusy,
         _ => Cause::Unspecified,
     };
-    (outcome, why)
+    (outcome, cause)
 }
 
 /// Returns the cause N of a `Reason: Q.850;cause=N` header (RFC 3326).
