--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -51,11 +51,11 @@
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CloseKind {
     /// The other side closed it in order, and so was alive.
-    Closed,
+    ByPeer,
     /// It was reset, cut, or closed by us.
-    Broken,
+    Other,
 }
 
 /// What is to be done.
@@ -100,7 +100,7 @@
 
 /// The failure detector of one exchange.
 #[derive(Debug)]
-pub struct Liveness {
+pub struct FailureDetector {
     timing: Timing,
     connections: BTreeMap<u64, Connection>,
     /// The last proof of life of each process that holds calls or connections.
@@ -125,10 +125,10 @@
     proof: Time,
 }
 
-impl Liveness {
+impl FailureDetector {
     /// A detector that knows of no connection and no call.
     pub fn new(timing: Timing) -> Self {
-        Liveness {
+        FailureDetector {
             timing,
             connections: BTreeMap::new(),
             proofs: BTreeMap::new(),
@@ -142,12 +142,12 @@
     }
 
     /// Calls that stand on the exchange.
-    pub fn calls(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
     /// A connection has come up. It is not known yet which process it leads to.
-    pub fn opened(&mut self, now: Time, connection: u64) {
+    pub fn connection_opened(&mut self, now: Time, connection: u64) {
         let process = self.next_process;
         self.next_process += 1;
         let opened = Connection {
@@ -163,7 +163,7 @@
     }
 
     /// A connection has brought a message.
-    pub fn heard(&mut self, now: Time, connection: u64) {
+    pub fn message_received(&mut self, now: Time, connection: u64) {
         let Some(at) = self.connections.get_mut(&connection) else { return };
         (at.informed, at.missing_since) = (true, None);
         let (process, opened) = (at.process, at.opened);
@@ -179,14 +179,14 @@
     }
 
     /// A connection has brought the state of the trunk group.
-    pub fn state(&mut self, now: Time, connection: u64, report: &LoadReport) {
+    pub fn state_received(&mut self, now: Time, connection: u64, report: &LoadReport) {
         // That of the processes which hold calls: a connection that has just come up proves nothing of them.
         let proof = self.oldest_proof();
         let Some(at) = self.connections.get_mut(&connection) else { return };
         let process = at.process;
         let change = at.informed;
         at.gets_states |= change;
-        self.heard(now, connection);
+        self.message_received(now, connection);
         if change {
             // Every open connection is told of it.
             let others = self.connections.iter_mut().filter(|(no, c)| **no != connection && c.gets_states);
@@ -237,16 +237,16 @@
     }
 
     /// A connection has ended.
-    pub fn closed(&mut self, now: Time, connection: u64, ending: Ending) {
+    pub fn connection_closed(&mut self, now: Time, connection: u64, ending: CloseKind) {
         let Some(closed) = self.connections.remove(&connection) else { return };
-        if ending == Ending::Closed {
+        if ending == CloseKind::ByPeer {
             self.prove(closed.process, now);
         }
         self.forget_if_empty(closed.process);
     }
 
     /// A call stands; its answer came on this connection.
-    pub fn stands(&mut self, now: Time, connection: u64, call: CallId, width: u32) {
+    pub fn call_established(&mut self, now: Time, connection: u64, call: CallId, width: u32) {
         let Some(at) = self.connections.get(&connection) else { return };
         let process = at.process;
         self.calls.insert(call, Call { process, width, stands_since: now });
@@ -255,7 +255,7 @@
     }
 
     /// A call is over, whoever ended it.
-    pub fn over(&mut self, call: &CallId) {
+    pub fn call_ended(&mut self, call: &CallId) {
         if let Some(call) = self.calls.remove(call) {
             self.forget_if_empty(call.process);
             if !self.counts_fewer() {
@@ -265,14 +265,14 @@
     }
 
     /// The calls that stood before a time are over: the process has been started anew.
-    pub fn restarted(&mut self, at: Time) {
+    pub fn process_restarted(&mut self, at: Time) {
         self.calls.retain(|_, call| call.stands_since > at);
         let empty: Vec<Process> = self.proofs.keys().copied().collect();
         empty.into_iter().for_each(|process| self.forget_if_empty(process));
     }
 
     /// All calls are over.
-    pub fn died(&mut self) {
+    pub fn process_died(&mut self) {
         let calls = std::mem::take(&mut self.calls);
         for call in calls.into_values() {
             self.forget_if_empty(call.process);
@@ -313,7 +313,7 @@
         proofs.copied().reduce(|a, b| if b < a { b } else { a })
     }
 
-    /// When [`Liveness::check`] may have something to do; `None` while no call stands.
+    /// When [`FailureDetector::check`] may have something to do; `None` while no call stands.
     pub fn next_check(&self, now: Time) -> Option<Time> {
         let oldest = self.oldest_proof()?;
         let verify = oldest + self.timing.verify_after;
@@ -359,7 +359,7 @@
             calls.iter().filter_map(|id| self.calls.get(id)).map(|call| call.process).collect();
         let held = |(_, c): &(&u64, &Connection)| holders.contains(&c.process);
         let connections = self.connections.iter().filter(held).map(|(no, _)| *no).collect();
-        calls.iter().for_each(|id| self.over(id));
+        calls.iter().for_each(|id| self.call_ended(id));
         Some(Effect::Expire { calls, connections })
     }
 
@@ -372,7 +372,7 @@
         if calls.is_empty() {
             return None;
         }
-        calls.iter().for_each(|id| self.over(id));
+        calls.iter().for_each(|id| self.call_ended(id));
         Some(Effect::Expire { calls, connections: Vec::new() })
     }
 
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -21,7 +21,7 @@
 impl Peer {
     pub(super) async fn command(&mut self, id: CallId, far: ExchangeCommand) {
         if matches!(far, ExchangeCommand::Release { .. }) {
-            self.liveness.over(&id);
+            self.liveness.call_ended(&id);
         }
         if self.connections.is_empty() {
             return self.command_without_connection(id, far).await;
@@ -157,7 +157,7 @@
             Some("NOTIFY") => self.tell(CallEvent::Status { exchange: self.office, report }).await,
             Some("BYE") => {
                 self.write(no, &Message::response(200, "OK", &message.headers));
-                self.liveness.over(&id);
+                self.liveness.call_ended(&id);
                 let whole = q850_cause(&message) == Some(16);
                 self.tell(CallEvent::ExchangeReleased {
                     id,
@@ -198,7 +198,7 @@
         }
         if status < 300 {
             if let Some(invite) = &invite {
-                self.liveness.stands(now, no, id.clone(), invite.width);
+                self.liveness.call_established(now, no, id.clone(), invite.width);
             }
             let description = Arc::from(message.body);
             self.tell(CallEvent::Answered { id, exchange: self.office, leg, description }).await;
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -8,7 +8,7 @@
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
-use crate::membership::liveness::Ending;
+use crate::membership::liveness::CloseKind;
 use crate::net::conn::Conn;
 use crate::net::or_late;
 use crate::net::permits::{Answer, Permit};
@@ -33,7 +33,7 @@
             if there >= CONNECTIONS {
                 return;
             }
-            let needed = !self.waiting.is_empty() || self.liveness.calls() > 0;
+            let needed = !self.waiting.is_empty() || self.liveness.call_count() > 0;
             let purpose = match there {
                 0 if needed => Purpose::Needed,
                 0 => Purpose::Idle,
@@ -86,7 +86,7 @@
             open: Default::default(),
         };
         self.connections.insert(no, connection);
-        self.liveness.opened(since, no);
+        self.liveness.connection_opened(since, no);
         if std::mem::take(&mut self.verify_next) {
             self.verifying = Some(no);
         }
@@ -117,13 +117,13 @@
     async fn died(&mut self) {
         tracing::warn!(office = self.office.0, "exchange died: its calls are released");
         self.suspect = false;
-        self.liveness.died();
+        self.liveness.process_died();
         self.tell(CallEvent::ExchangeDown(self.office)).await;
     }
 
-    pub(super) async fn lost(&mut self, no: u64, why: String, ours: bool, ending: Ending) {
+    pub(super) async fn lost(&mut self, no: u64, why: String, ours: bool, ending: CloseKind) {
         let Some(lost) = self.connections.remove(&no) else { return };
-        self.liveness.closed(self.now(), no, ending);
+        self.liveness.connection_closed(self.now(), no, ending);
         self.verifying = self.verifying.filter(|verifying| *verifying != no);
         telemetry::exchange_connection_lost();
         if ours {
@@ -188,7 +188,7 @@
     fn finish(&mut self, no: u64, retiring: Secs) {
         let Some(connection) = self.connections.remove(&no) else { return };
         connection.conn.finish();
-        self.liveness.closed(self.now(), no, Ending::Broken);
+        self.liveness.connection_closed(self.now(), no, CloseKind::Other);
         self.verifying = self.verifying.filter(|verifying| *verifying != no);
         self.retired.insert(no, (connection.conn, connection._permit));
         self.later(retiring, PeerMail::Retired(no));
@@ -200,11 +200,11 @@
         let quietest = self.quietest(None).filter(|_| !(only && self.is_busy()));
         let Some(no) = quietest else { return self.shared.permits.keeps(self.office) };
         tracing::debug!(office = self.office.0, connection = no, "connection given up for another exchange");
-        if self.liveness.calls() > 0 {
+        if self.liveness.call_count() > 0 {
             return self.finish(no, RETIRING_IN_NEED);
         }
         self.connections.remove(&no);
-        self.liveness.closed(self.now(), no, Ending::Broken);
+        self.liveness.connection_closed(self.now(), no, CloseKind::Other);
         if self.connections.is_empty() {
             // Its state is not told any longer.
             self.tell(CallEvent::StatusLost(self.office)).await;
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -22,7 +22,7 @@
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::BEST;
-use crate::membership::liveness::{Ending, Liveness, Timing};
+use crate::membership::liveness::{CloseKind, FailureDetector, Timing};
 use crate::sip::message::Message;
 
 /// Connections to one exchange at best: what spoils one ends only the set-ups on it. States come on four at most.
@@ -117,7 +117,7 @@
     /// What waits for a connection.
     waiting: VecDeque<(CallId, ExchangeCommand)>,
     given_up: VecDeque<CallId>,
-    liveness: Liveness,
+    liveness: FailureDetector,
     /// When the next liveness check is due, if one is under way.
     check_at: Option<Time>,
     /// The last check came late and was put off.
@@ -149,7 +149,7 @@
         latest_answered: shared.clock.now(),
         waiting: VecDeque::new(),
         given_up: VecDeque::new(),
-        liveness: Liveness::new(Timing::default()),
+        liveness: FailureDetector::new(Timing::default()),
         check_at: None,
         put_off: false,
         verifying: None,
@@ -221,12 +221,12 @@
 
     /// The list tells of a new start. A machine that vanished left its connections open and silent.
     async fn restarted(&mut self, at: Time) {
-        self.liveness.restarted(at);
+        self.liveness.process_restarted(at);
         let before = self.connections.iter().filter(|(_, c)| c.since < at);
         let old: Vec<u64> = before.map(|(no, _)| *no).collect();
         for no in old {
             tracing::info!(office = self.office.0, connection = no, "exchange restarted: connecting again");
-            self.liveness.closed(self.now(), no, Ending::Broken);
+            self.liveness.connection_closed(self.now(), no, CloseKind::Other);
             if let Some(connection) = self.connections.remove(&no) {
                 self.end_open(connection).await;
             }
@@ -241,10 +241,10 @@
                 self.message(no, message).await;
             }
             // Nothing that follows on the same connection can be trusted.
-            Heard::Message(Err(fault)) => self.lost(no, fault.to_string(), true, Ending::Broken).await,
+            Heard::Message(Err(fault)) => self.lost(no, fault.to_string(), true, CloseKind::Other).await,
             Heard::Over(over) => {
                 let ours = !matches!(over, Over::Closed | Over::Broken(_));
-                let ending = if matches!(over, Over::Closed) { Ending::Closed } else { Ending::Broken };
+                let ending = if matches!(over, Over::Closed) { CloseKind::ByPeer } else { CloseKind::Other };
                 self.lost(no, format!("{over:?}"), ours, ending).await;
             }
         }
@@ -257,7 +257,7 @@
     /// Set-ups are open here or wait, or calls stand.
     fn is_busy(&self) -> bool {
         let open = self.connections.values().any(|c| !c.open.is_empty());
-        open || !self.waiting.is_empty() || self.liveness.calls() > 0
+        open || !self.waiting.is_empty() || self.liveness.call_count() > 0
     }
 
     fn tell_use(&mut self) {
--- a/src/net/peer/watch.rs
+++ b/src/net/peer/watch.rs
@@ -4,7 +4,7 @@
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
-use crate::membership::liveness::{Effect, Ending};
+use crate::membership::liveness::{CloseKind, Effect};
 use crate::net::permits::Answer;
 use crate::sip::message::Message;
 use crate::telemetry;
@@ -23,9 +23,9 @@
         }
         if message.method() == Some("NOTIFY") {
             let report = super::calls::report_of(message);
-            self.liveness.state(now, no, &report);
+            self.liveness.state_received(now, no, &report);
         } else {
-            self.liveness.heard(now, no);
+            self.liveness.message_received(now, no);
         }
         if self.verifying == Some(no) {
             tracing::debug!(office = self.office.0, connection = no, "exchange alive: it told its state");
@@ -82,7 +82,7 @@
     /// Opens one more connection, to hear whether the exchange is alive.
     async fn verify(&mut self) {
         if let Some(no) = self.verifying.take() {
-            self.lost(no, "it told no state".to_owned(), false, Ending::Broken).await;
+            self.lost(no, "it told no state".to_owned(), false, CloseKind::Other).await;
         }
         let stopped = self.condition == ServiceState::Draining && self.connections.is_empty();
         if self.connecting > 0 || stopped {
@@ -94,7 +94,7 @@
         };
         tracing::debug!(
             office = self.office.0,
-            calls = self.liveness.calls(),
+            calls = self.liveness.call_count(),
             "silent exchange: connecting once more"
         );
         telemetry::exchange_verification_started();
@@ -114,7 +114,7 @@
                 .await;
         }
         for no in connections {
-            self.lost(no, "silent".to_owned(), false, Ending::Broken).await;
+            self.lost(no, "silent".to_owned(), false, CloseKind::Other).await;
         }
         // Should it come back with them, it has to end them as well.
         for id in calls {
--- a/tests/liveness.rs
+++ b/tests/liveness.rs
@@ -1,9 +1,9 @@
 //! The failure detector of an exchange on a scripted clock.
 
 use mallowring::interface::*;
-use mallowring::membership::liveness::{Effect, Ending, Liveness, Timing};
+use mallowring::membership::liveness::{CloseKind, Effect, FailureDetector, Timing};
 
-/// Far longer than any test.
+/// ExchangeCommand longer than any test.
 const DAY: f64 = 86_400.0;
 
 fn id(name: &str) -> CallId {
@@ -16,29 +16,33 @@
 
 /// A detector and its clock.
 struct Bench {
-    detector: Liveness,
+    detector: FailureDetector,
     now: f64,
 }
 
 impl Bench {
     /// With connections 1 to 3 up and heard.
     fn new() -> Bench {
-        let mut bench = Bench { detector: Liveness::new(Timing::default()), now: 100.0 };
+        let mut bench = Bench { detector: FailureDetector::new(Timing::default()), now: 100.0 };
         for connection in 1..=3 {
-            bench.detector.opened(Time(bench.now), connection);
-            bench.detector.state(Time(bench.now), connection, &used(0.0));
+            bench.detector.connection_opened(Time(bench.now), connection);
+            bench.detector.state_received(Time(bench.now), connection, &used(0.0));
         }
         bench.now += 1.0;
-        bench.detector.heard(Time(bench.now), 1);
+        bench.detector.message_received(Time(bench.now), 1);
         bench
     }
 
     fn stands(&mut self, connection: u64, call: &str) {
-        self.detector.stands(Time(self.now), connection, id(call), 1);
+        self.detector.call_established(Time(self.now), connection, id(call), 1);
     }
 
     /// Lets the time run as its owner would; an answer of `verified` meets each new connection.
-    fn run(&mut self, seconds: f64, mut verified: impl FnMut(&mut Liveness, Time)) -> Vec<(f64, Effect)> {
+    fn run(
+        &mut self,
+        seconds: f64,
+        mut verified: impl FnMut(&mut FailureDetector, Time),
+    ) -> Vec<(f64, Effect)> {
         let until = self.now + seconds;
         let mut effects = Vec::new();
         while let Some(at) = self.detector.next_check(Time(self.now)).filter(|at| at.0 <= until) {
@@ -87,7 +91,7 @@
     let mut bench = Bench::new();
     assert!(bench.run(DAY, |_, _| {}).is_empty());
     bench.stands(1, "a");
-    bench.detector.over(&id("a"));
+    bench.detector.call_ended(&id("a"));
     assert!(bench.run(DAY, |_, _| {}).is_empty());
 }
 
@@ -99,9 +103,9 @@
     let mut next = 10;
     let effects = bench.run(600.0, |detector, now| {
         next += 1;
-        detector.opened(now, next);
-        detector.state(now, next, &used(2.0));
-        detector.closed(now, next - 1, Ending::Broken);
+        detector.connection_opened(now, next);
+        detector.state_received(now, next, &used(2.0));
+        detector.connection_closed(now, next - 1, CloseKind::Other);
     });
     assert!(expired(&effects).is_empty());
     assert!(effects.len() < 600 / 2, "{} connections", effects.len());
@@ -116,8 +120,8 @@
     let mut next = 10;
     let effects = bench.run(20.0, |detector, now| {
         next += 1;
-        detector.opened(now, next);
-        detector.state(now, next, &used(1.0));
+        detector.connection_opened(now, next);
+        detector.state_received(now, next, &used(1.0));
     });
     assert!((7.0..7.9).contains(&(expired(&effects)[0].0 - start)));
 }
@@ -127,40 +131,40 @@
     let mut bench = Bench::new();
     bench.stands(1, "old");
     bench.now += 1.0;
-    bench.detector.opened(Time(bench.now), 9);
-    bench.detector.state(Time(bench.now), 9, &used(0.0));
+    bench.detector.connection_opened(Time(bench.now), 9);
+    bench.detector.state_received(Time(bench.now), 9, &used(0.0));
     bench.stands(9, "new");
     for _ in 0..20 {
         bench.now += 0.5;
-        bench.detector.state(Time(bench.now), 9, &used(1.0));
+        bench.detector.state_received(Time(bench.now), 9, &used(1.0));
         for (at, calls) in expired(&bench.run(0.0, |_, _| {})) {
             assert_eq!(calls, [id("old")]);
             assert!(at < 101.0 + 8.0);
         }
     }
-    assert_eq!(bench.detector.calls(), 1, "the new one stands");
+    assert_eq!(bench.detector.call_count(), 1, "the new one stands");
 }
 
 #[test]
 fn an_older_connection_that_is_heard_vouches_for_newer_ones_and_not_the_other_way() {
     let mut bench = Bench::new();
-    bench.detector.opened(Time(bench.now), 4);
+    bench.detector.connection_opened(Time(bench.now), 4);
     bench.now += 0.5;
-    bench.detector.heard(Time(bench.now), 1);
+    bench.detector.message_received(Time(bench.now), 1);
     bench.stands(1, "a");
     // Connection 4 came up while the process of connection 1 was there: it leads to it.
     for _ in 0..20 {
         bench.now += 1.0;
-        bench.detector.heard(Time(bench.now), 4);
+        bench.detector.message_received(Time(bench.now), 4);
         assert!(expired(&bench.run(0.0, |_, _| {})).is_empty());
     }
     // Connection 5 came up while nothing was heard of the older ones.
-    bench.detector.opened(Time(bench.now + 0.1), 5);
+    bench.detector.connection_opened(Time(bench.now + 0.1), 5);
     let heard = bench.now;
     let mut ends = Vec::new();
     for _ in 0..10 {
         bench.now += 1.0;
-        bench.detector.heard(Time(bench.now), 5);
+        bench.detector.message_received(Time(bench.now), 5);
         ends.extend(expired(&bench.run(0.0, |_, _| {})));
     }
     assert_eq!(ends.len(), 1);
@@ -172,10 +176,10 @@
     let mut bench = Bench::new();
     bench.stands(1, "a");
     for connection in 1..=3 {
-        bench.detector.closed(Time(bench.now), connection, Ending::Broken);
+        bench.detector.connection_closed(Time(bench.now), connection, CloseKind::Other);
     }
-    bench.detector.opened(Time(bench.now), 4);
-    bench.detector.state(Time(bench.now), 4, &LoadReport::default());
+    bench.detector.connection_opened(Time(bench.now), 4);
+    bench.detector.state_received(Time(bench.now), 4, &LoadReport::default());
     let start = bench.now;
     let ends = expired(&bench.run(20.0, |_, _| {}));
     assert!(ends[0].0 - start < 7.9);
@@ -186,13 +190,13 @@
     let mut bench = Bench::new();
     bench.stands(1, "a");
     for connection in 1..=3 {
-        bench.detector.state(Time(bench.now), connection, &used(1.0));
+        bench.detector.state_received(Time(bench.now), connection, &used(1.0));
     }
     let mut replaced = Vec::new();
     for n in 0..12 {
         bench.now += 0.4;
         for connection in [1, 2] {
-            bench.detector.state(Time(bench.now), connection, &used(f64::from(n)));
+            bench.detector.state_received(Time(bench.now), connection, &used(f64::from(n)));
         }
         replaced.extend(bench.run(0.01, |_, _| {}));
     }
@@ -204,11 +208,11 @@
     let mut bench = Bench::new();
     bench.stands(1, "before");
     bench.now += 2.0;
-    bench.detector.opened(Time(bench.now), 9);
+    bench.detector.connection_opened(Time(bench.now), 9);
     bench.stands(9, "after");
-    bench.detector.restarted(Time(bench.now - 1.0));
-    assert_eq!(bench.detector.calls(), 1);
-    bench.detector.died();
+    bench.detector.process_restarted(Time(bench.now - 1.0));
+    assert_eq!(bench.detector.call_count(), 1);
+    bench.detector.process_died();
     assert_eq!(bench.detector.next_check(Time(bench.now)), None);
 }
 
@@ -218,14 +222,14 @@
 fn a_live_exchange_that_counts_fewer_circuits_is_asked_again_and_then_its_calls_are_released() {
     let mut bench = Bench::new();
     // The state of the set-ups comes before their answers.
-    bench.detector.state(Time(bench.now), 1, &used(2.0));
+    bench.detector.state_received(Time(bench.now), 1, &used(2.0));
     bench.stands(1, "over");
     bench.stands(1, "stands");
     let matched = bench.now;
     let (mut asked, mut ends) = (0, Vec::new());
     for _ in 0..40 {
         bench.now += 0.25;
-        bench.detector.state(Time(bench.now), 1, &used(1.0));
+        bench.detector.state_received(Time(bench.now), 1, &used(1.0));
         let effects = bench.run(0.0, |_, _| {});
         asked += effects.iter().filter(|(_, effect)| *effect == Effect::Verify).count();
         ends.extend(expired(&effects));
@@ -241,16 +245,16 @@
     let mut bench = Bench::new();
     bench.stands(1, "over");
     bench.stands(1, "stands");
-    bench.detector.state(Time(bench.now), 1, &used(2.0));
-    bench.detector.state(Time(bench.now + 0.1), 1, &used(1.0));
-    bench.detector.over(&id("over"));
+    bench.detector.state_received(Time(bench.now), 1, &used(2.0));
+    bench.detector.state_received(Time(bench.now + 0.1), 1, &used(1.0));
+    bench.detector.call_ended(&id("over"));
     bench.now += 0.1;
     assert!(bench.run(2.0, |_, _| {}).is_empty());
     let mut uncounted = Bench::new();
     uncounted.stands(1, "a");
     for _ in 0..40 {
         uncounted.now += 0.5;
-        uncounted.detector.state(Time(uncounted.now), 1, &used(0.0));
+        uncounted.detector.state_received(Time(uncounted.now), 1, &used(0.0));
         assert!(uncounted.run(0.0, |_, _| {}).is_empty());
     }
 }
@@ -260,15 +264,15 @@
 #[test]
 fn after_a_silence_a_lost_release_counts_from_the_last_word_before_it() {
     let mut bench = Bench::new();
-    bench.detector.state(Time(bench.now), 1, &used(1.0));
+    bench.detector.state_received(Time(bench.now), 1, &used(1.0));
     bench.stands(1, "over");
     let heard = bench.now;
     bench.now += 5.0;
-    bench.detector.opened(Time(bench.now), 4);
+    bench.detector.connection_opened(Time(bench.now), 4);
     let mut ends = Vec::new();
     for _ in 0..20 {
-        bench.detector.state(Time(bench.now), 4, &used(0.0));
-        bench.detector.heard(Time(bench.now), 1);
+        bench.detector.state_received(Time(bench.now), 4, &used(0.0));
+        bench.detector.message_received(Time(bench.now), 1);
         ends.extend(expired(&bench.run(0.25, |_, _| {})));
     }
     assert_eq!(ends.len(), 1);
