--- a/src/config.rs
+++ b/src/config.rs
@@ -18,7 +18,7 @@
 use crate::calls::tenants::Tenant;
 use crate::interface::{ExchangeId, ExchangeNumber, Secs, Settings};
 use crate::limits::descriptors;
-use crate::limits::memory::UNLIMITED_MB;
+use crate::limits::memory::DEFAULT_LIMIT_MB;
 use crate::net::bulletin::Source;
 use crate::sip::agent::Exchange;
 use crate::sip::header::{Hop, Transport};
@@ -351,7 +351,7 @@
             .or(service.name)
             .ok_or_else(|| source.key_error("name", "missing, and NODE_NAME is not set"))?;
         let (mut seed, mut max_descriptors, mut memory_mb) =
-            (fastrand::u64(..), DEFAULT_MAX_DESCRIPTORS, UNLIMITED_MB);
+            (fastrand::u64(..), DEFAULT_MAX_DESCRIPTORS, DEFAULT_LIMIT_MB);
         let mut platform = None;
         if let (Some(node), Some(source)) = (node, &node_file) {
             seed = match &node.seed {
@@ -361,9 +361,11 @@
             }
             .ok_or_else(|| source.key_error("seed", format!("{} is not a hexadecimal number", node.seed)))?;
             max_descriptors = node.limits.sockets.unwrap_or(DEFAULT_MAX_DESCRIPTORS);
-            if max_descriptors < descriptors::LEAST {
-                let reason =
-                    format!("{max_descriptors} is too few; at least {} are required", descriptors::LEAST);
+            if max_descriptors < descriptors::MIN_DESCRIPTORS {
+                let reason = format!(
+                    "{max_descriptors} is too few; at least {} are required",
+                    descriptors::MIN_DESCRIPTORS
+                );
                 return Err(source.key_error("limits.sockets", reason));
             }
             if let Some(mb) = node.limits.memory_mb {
--- a/src/limits/connections.rs
+++ b/src/limits/connections.rs
@@ -11,7 +11,7 @@
 use crate::interface::{ExchangeId, Time};
 
 /// The most connections to one exchange at best.
-pub const BEST: usize = 3;
+pub const MAX_PER_EXCHANGE: usize = 3;
 /// One part in so many of the budget is kept for liveness checks and for what is about to be closed.
 const SPARE_PART: usize = 16;
 
@@ -30,13 +30,13 @@
 
 /// What is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grant {
+pub enum Allocation {
     /// It may be opened, and counts from now on.
-    Open,
+    Granted,
     /// This exchange is to give a connection up first; then ask again.
-    After(ExchangeId),
+    AfterClosing(ExchangeId),
     /// Not now.
-    No,
+    Denied,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
     }
 
     /// Connections held.
-    pub fn held(&self) -> usize {
+    pub fn allocated(&self) -> usize {
         self.held
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Exchanges that are known.
-    pub fn exchanges(&self) -> usize {
+    pub fn exchange_count(&self) -> usize {
         self.holders.len()
     }
 
@@ -83,31 +83,31 @@
     }
 
     /// How many connections an exchange holds at best now.
-    pub fn best(&self) -> usize {
+    pub fn target_per_exchange(&self) -> usize {
         let most = self.limit.saturating_sub(self.spare());
-        (most / self.holders.len().max(1)).clamp(1, BEST)
+        (most / self.holders.len().max(1)).clamp(1, MAX_PER_EXCHANGE)
     }
 
     /// Whether every exchange can have a connection.
-    pub fn fits(&self) -> bool {
+    pub fn fits_one_each(&self) -> bool {
         self.holders.len() + self.spare() <= self.limit
     }
 
     /// An exchange is there.
-    pub fn listed(&mut self, now: Time, office: ExchangeId) {
+    pub fn add_exchange(&mut self, now: Time, office: ExchangeId) {
         let holder = Holder { connections: 0, busy: false, used: now, yielding: false };
         self.holders.entry(office).or_insert(holder);
     }
 
     /// An exchange is gone, with all its connections.
-    pub fn gone(&mut self, office: ExchangeId) {
+    pub fn remove_exchange(&mut self, office: ExchangeId) {
         if let Some(holder) = self.holders.remove(&office) {
             self.held -= holder.connections;
         }
     }
 
     /// An exchange has come into use or out of it.
-    pub fn in_use(&mut self, now: Time, office: ExchangeId, busy: bool) {
+    pub fn set_busy(&mut self, now: Time, office: ExchangeId, busy: bool) {
         if let Some(holder) = self.holders.get_mut(&office) {
             holder.busy = busy;
             holder.used = now;
@@ -115,10 +115,10 @@
     }
 
     /// A connection is wanted.
-    pub fn ask(&mut self, office: ExchangeId, purpose: Purpose) -> Grant {
+    pub fn request(&mut self, office: ExchangeId, purpose: Purpose) -> Allocation {
         let free = self.limit.saturating_sub(self.held);
-        let (spare, best) = (self.spare(), self.best());
-        let Some(holder) = self.holders.get_mut(&office) else { return Grant::No };
+        let (spare, best) = (self.spare(), self.target_per_exchange());
+        let Some(holder) = self.holders.get_mut(&office) else { return Allocation::Denied };
         let granted = match purpose {
             Purpose::Another => holder.connections < best && free > spare,
             Purpose::Idle => free > spare,
@@ -127,7 +127,7 @@
         if granted {
             holder.connections += 1;
             self.held += 1;
-            return Grant::Open;
+            return Allocation::Granted;
         }
         let victim = match purpose {
             Purpose::Another => None,
@@ -140,9 +140,9 @@
                 if let Some(holder) = self.holders.get_mut(&victim) {
                     holder.yielding = true;
                 }
-                Grant::After(victim)
+                Allocation::AfterClosing(victim)
             }
-            None => Grant::No,
+            None => Allocation::Denied,
         }
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// A connection has ended, or was granted and did not come up.
-    pub fn ended(&mut self, office: ExchangeId) {
+    pub fn connection_closed(&mut self, office: ExchangeId) {
         if let Some(holder) = self.holders.get_mut(&office) {
             self.held -= holder.connections.min(1);
             holder.connections = holder.connections.saturating_sub(1);
@@ -173,7 +173,7 @@
     }
 
     /// An exchange can't give one up now.
-    pub fn refused(&mut self, office: ExchangeId) {
+    pub fn close_declined(&mut self, office: ExchangeId) {
         if let Some(holder) = self.holders.get_mut(&office) {
             holder.yielding = false;
         }
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -12,7 +12,7 @@
 /// Connections of the administration's interfaces, where they are on.
 const ADMINISTRATION: usize = 40;
 /// The fewest descriptors with which a proxy can serve.
-pub const LEAST: usize = 128;
+pub const MIN_DESCRIPTORS: usize = 128;
 
 /// How many descriptors each part may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
     #[test]
     fn the_parts_never_exceed_the_limit_and_callers_get_their_third() {
-        for limit in LEAST..5000 {
+        for limit in MIN_DESCRIPTORS..5000 {
             for administration in [false, true] {
                 let plan = DescriptorPlan::new(limit, administration);
                 assert!(
--- a/src/limits/memory.rs
+++ b/src/limits/memory.rs
@@ -7,7 +7,7 @@
 /// What the program needs before the first call, in bytes.
 const BASE: usize = 12 * 1024 * 1024;
 /// Where the deployment names no limit.
-pub const UNLIMITED_MB: usize = 1024;
+pub const DEFAULT_LIMIT_MB: usize = 1024;
 
 /// How many bytes each part may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// One connection with messages that wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Queue {
+pub struct OutboundQueue {
     /// Its number.
     pub connection: u64,
     /// Bytes that wait for its reader.
@@ -41,7 +41,7 @@
 
 /// The connection to cut when queues hold more than their part: one that never asked for a call, else the one whose
 /// reader is furthest behind. Calls that stand are not lost by it: they may be told elsewhere.
-pub fn slowest(queues: impl Iterator<Item = Queue>) -> Option<u64> {
+pub fn connection_to_cut(queues: impl Iterator<Item = OutboundQueue>) -> Option<u64> {
     let behind = queues.filter(|queue| queue.bytes > 0);
     behind.max_by_key(|queue| (!queue.proven, queue.bytes)).map(|queue| queue.connection)
 }
@@ -68,7 +68,7 @@
     }
 
     /// One more; returns how many went for it.
-    pub fn add(&mut self, release: Message) -> usize {
+    pub fn push(&mut self, release: Message) -> usize {
         self.bytes += Self::weight(&release);
         self.waiting.push_back(release);
         let before = self.waiting.len();
@@ -80,7 +80,7 @@
     }
 
     /// All of them, oldest first.
-    pub fn take(&mut self) -> VecDeque<Message> {
+    pub fn take_all(&mut self) -> VecDeque<Message> {
         self.bytes = 0;
         std::mem::take(&mut self.waiting)
     }
@@ -107,19 +107,22 @@
 
     #[test]
     fn whoever_asked_for_nothing_is_cut_before_a_slow_reader_with_calls() {
-        let queue = |connection, bytes, proven| Queue { connection, bytes, proven };
-        assert_eq!(slowest([queue(1, 0, false), queue(2, 9, true), queue(3, 99, true)].into_iter()), Some(3));
-        assert_eq!(slowest([queue(1, 5, false), queue(2, 9, true)].into_iter()), Some(1));
-        assert_eq!(slowest([queue(1, 0, false)].into_iter()), None);
+        let queue = |connection, bytes, proven| OutboundQueue { connection, bytes, proven };
+        assert_eq!(
+            connection_to_cut([queue(1, 0, false), queue(2, 9, true), queue(3, 99, true)].into_iter()),
+            Some(3)
+        );
+        assert_eq!(connection_to_cut([queue(1, 5, false), queue(2, 9, true)].into_iter()), Some(1));
+        assert_eq!(connection_to_cut([queue(1, 0, false)].into_iter()), None);
     }
 
     #[test]
     fn the_oldest_release_goes_when_they_take_too_much() {
         let release = |n: usize| Message::request("BYE", "sip:x@net").with("Call-ID", n);
         let mut waiting = WaitingReleases::new(10 * WaitingReleases::weight(&release(0)));
-        let gone: usize = (0..25).map(|n| waiting.add(release(n))).sum();
+        let gone: usize = (0..25).map(|n| waiting.push(release(n))).sum();
         assert!(gone >= 15, "{gone}");
-        let kept = waiting.take();
+        let kept = waiting.take_all();
         assert_eq!(kept.len(), 25 - gone);
         assert_eq!(kept.back().and_then(|m| m.get("Call-ID")), Some("24"), "the newest stays");
         assert_eq!(waiting.bytes(), 0);
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -17,7 +17,7 @@
 use smol::{future, Async};
 
 use super::{or_late, post_when_calm, Tasks};
-use crate::limits::memory::{slowest, Queue};
+use crate::limits::memory::{connection_to_cut, OutboundQueue};
 use crate::sip::message::{Framer, FramingError, MalformedMessage, Message};
 use crate::telemetry;
 
@@ -106,9 +106,13 @@
             let all = self.all.borrow();
             let queue = |(number, outbox): (&u64, &Weak<Outbox>)| {
                 let outbox = outbox.upgrade()?;
-                Some(Queue { connection: *number, bytes: outbox.size.get(), proven: outbox.proven.get() })
+                Some(OutboundQueue {
+                    connection: *number,
+                    bytes: outbox.size.get(),
+                    proven: outbox.proven.get(),
+                })
             };
-            let Some(number) = slowest(all.iter().filter_map(queue)) else { return };
+            let Some(number) = connection_to_cut(all.iter().filter_map(queue)) else { return };
             let Some(outbox) = all.get(&number).and_then(Weak::upgrade) else { return };
             telemetry::queue_limit_exceeded("all queues");
             self.cut(&outbox, "all queues together hold too much");
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -21,12 +21,12 @@
 use super::{post, Tasks};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
-use crate::limits::connections::BEST;
+use crate::limits::connections::MAX_PER_EXCHANGE;
 use crate::membership::liveness::{CloseKind, FailureDetector, Timing};
 use crate::sip::message::Message;
 
 /// Connections to one exchange at best: what spoils one ends only the set-ups on it. States come on four at most.
-pub const CONNECTIONS: usize = BEST;
+pub const CONNECTIONS: usize = MAX_PER_EXCHANGE;
 
 /// What the actor is told.
 #[derive(Debug)]
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -10,7 +10,7 @@
 use super::clock::Clock;
 use super::peer::PeerMail;
 use crate::interface::ExchangeId;
-use crate::limits::connections::{ConnectionBudget, Grant, Purpose};
+use crate::limits::connections::{Allocation, ConnectionBudget, Purpose};
 use crate::telemetry;
 
 /// What an actor that asks for a connection is told.
@@ -45,7 +45,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.permits.budget.borrow_mut().ended(self.office);
+        self.permits.budget.borrow_mut().connection_closed(self.office);
     }
 }
 
@@ -59,10 +59,10 @@
     /// An exchange is there. Says once where not every exchange can have a connection.
     pub fn listed(&self, office: ExchangeId, mailbox: Sender<PeerMail>) {
         let mut budget = self.budget.borrow_mut();
-        let fitted = budget.fits();
-        budget.listed(self.clock.now(), office);
-        if fitted && !budget.fits() {
-            let (exchanges, connections) = (budget.exchanges(), budget.limit());
+        let fitted = budget.fits_one_each();
+        budget.add_exchange(self.clock.now(), office);
+        if fitted && !budget.fits_one_each() {
+            let (exchanges, connections) = (budget.exchange_count(), budget.limit());
             tracing::warn!(exchanges, connections, "more exchanges than connections: idle ones wait for use");
         }
         self.peers.borrow_mut().insert(office, mailbox);
@@ -70,31 +70,31 @@
 
     /// An exchange is gone.
     pub fn gone(&self, office: ExchangeId) {
-        self.budget.borrow_mut().gone(office);
+        self.budget.borrow_mut().remove_exchange(office);
         self.peers.borrow_mut().remove(&office);
     }
 
     /// An exchange has set-ups open or calls that stand, or has none any more.
     pub fn in_use(&self, office: ExchangeId, busy: bool) {
-        self.budget.borrow_mut().in_use(self.clock.now(), office, busy);
+        self.budget.borrow_mut().set_busy(self.clock.now(), office, busy);
     }
 
     /// An exchange can't give a connection up now.
     pub fn keeps(&self, office: ExchangeId) {
-        self.budget.borrow_mut().refused(office);
+        self.budget.borrow_mut().close_declined(office);
     }
 
     /// Connections held.
     pub fn held(&self) -> usize {
-        self.budget.borrow().held()
+        self.budget.borrow().allocated()
     }
 
     /// An exchange wants a connection.
     pub fn ask(self: &Rc<Self>, office: ExchangeId, purpose: Purpose) -> Answer {
-        let grant = self.budget.borrow_mut().ask(office, purpose);
+        let grant = self.budget.borrow_mut().request(office, purpose);
         match grant {
-            Grant::Open => Answer::Granted(Permit { permits: self.clone(), office }),
-            Grant::After(victim) => {
+            Allocation::Granted => Answer::Granted(Permit { permits: self.clone(), office }),
+            Allocation::AfterClosing(victim) => {
                 telemetry::exchange_connection_reclaimed();
                 tracing::debug!(
                     office = office.0,
@@ -108,7 +108,7 @@
                 }
                 Answer::Wait
             }
-            Grant::No => {
+            Allocation::Denied => {
                 telemetry::exchange_connection_denied();
                 Answer::No
             }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -414,7 +414,7 @@
         if calls && !line.calls {
             line.calls = true;
             line.conn.prove();
-            for message in self.unsent.take() {
+            for message in self.unsent.take_all() {
                 line.conn.write(&message);
             }
         }
@@ -522,7 +522,7 @@
         let open: Vec<u64> = open.into_iter().map(|(no, _)| *no).collect();
         if !open.into_iter().any(|no| self.write(no, &message)) {
             tracing::debug!(call = message.get("Call-ID"), "release waits for a connection from a caller");
-            let dropped = self.unsent.add(message);
+            let dropped = self.unsent.push(message);
             if dropped > 0 {
                 telemetry::releases_dropped(dropped);
                 tracing::warn!(dropped, "releases waited too long for a caller's connection");
