--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -141,10 +141,10 @@
                         tracing::info!(counters = telemetry::summary(), "drained");
                         return;
                     }
-                    if shutdown.is_some_and(|s| !s.admits(now)) {
+                    if shutdown.is_some_and(|s| !s.accepts_set_ups(now)) {
                         self.table.stop_admitting();
                     }
-                    if shutdown.is_some_and(|s| s.must_conclude(now)) {
+                    if shutdown.is_some_and(|s| s.must_refuse_open(now)) {
                         self.table.refuse_open(&mut commands);
                     }
                     self.later(LOOK, || EngineMail::Look);
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -260,7 +260,7 @@
         let useless = |line: &Line| {
             let unproven = !line.proven && now - line.opened >= WHOLE_WITHIN;
             let idle = line.standing == 0 && now - line.active >= IDLE;
-            let ending = shutdown.is_some_and(|s| s.may_close(now, line.open, line.standing));
+            let ending = shutdown.is_some_and(|s| s.may_close_connection(now, line.open, line.standing));
             match line.open {
                 0 if ending => Some("shutting down"),
                 0 if unproven => Some("nothing useful"),
@@ -297,7 +297,7 @@
         }
         let Some(shutdown) = self.shutdown else { return };
         match self.accepting {
-            Accepting::Yes if shutdown.may_end(now, self.unconnected_since) => {
+            Accepting::Yes if shutdown.may_exit(now, self.unconnected_since) => {
                 self.accepting = Accepting::Stopping;
                 // It ends with the first word of it.
                 let _ = self.front.stop_accepting.try_send(());
--- a/src/recovery/shutdown.rs
+++ b/src/recovery/shutdown.rs
@@ -33,23 +33,23 @@
     }
 
     /// New set-ups are served; later ones are refused at once.
-    pub fn admits(&self, now: Time) -> bool {
+    pub fn accepts_set_ups(&self, now: Time) -> bool {
         now - self.began < SERVE
     }
 
     /// Whatever is still open has to get its final answer now.
-    pub fn must_conclude(&self, now: Time) -> bool {
+    pub fn must_refuse_open(&self, now: Time) -> bool {
         now - self.began >= SERVE + self.longest - CONCLUDE_BEFORE_KILL
     }
 
     /// A connection may be closed on which so many set-ups are open and calls stand. Just before the earliest SIGKILL
     /// those with standing calls go as well: what came on them then could not be answered.
-    pub fn may_close(&self, now: Time, open: usize, standing: usize) -> bool {
-        !self.admits(now) && open == 0 && (standing == 0 || self.must_conclude(now))
+    pub fn may_close_connection(&self, now: Time, open: usize, standing: usize) -> bool {
+        !self.accepts_set_ups(now) && open == 0 && (standing == 0 || self.must_refuse_open(now))
     }
 
     /// The proxy may stop to accept and end, as there has been no connection since a time.
-    pub fn may_end(&self, now: Time, unconnected_since: Time) -> bool {
+    pub fn may_exit(&self, now: Time, unconnected_since: Time) -> bool {
         now - self.began >= LINGER && now - unconnected_since >= CROSSING
     }
 }
@@ -61,20 +61,29 @@
     #[test]
     fn set_ups_are_served_then_refused_then_concluded_before_the_earliest_kill() {
         let shutdown = Shutdown::begin(Time(10.0), 9.0);
-        assert!(shutdown.admits(Time(10.69)) && !shutdown.admits(Time(10.71)));
-        assert!(!shutdown.must_conclude(Time(13.5)) && shutdown.must_conclude(Time(13.56)));
-        assert!(!shutdown.may_close(Time(10.5), 0, 0) && shutdown.may_close(Time(10.8), 0, 0));
-        assert!(!shutdown.may_close(Time(10.8), 1, 0) && !shutdown.may_close(Time(10.8), 0, 1));
-        assert!(shutdown.may_close(Time(13.6), 0, 1) && !shutdown.may_close(Time(13.6), 1, 0));
+        assert!(shutdown.accepts_set_ups(Time(10.69)) && !shutdown.accepts_set_ups(Time(10.71)));
+        assert!(!shutdown.must_refuse_open(Time(13.5)) && shutdown.must_refuse_open(Time(13.56)));
+        assert!(
+            !shutdown.may_close_connection(Time(10.5), 0, 0)
+                && shutdown.may_close_connection(Time(10.8), 0, 0)
+        );
+        assert!(
+            !shutdown.may_close_connection(Time(10.8), 1, 0)
+                && !shutdown.may_close_connection(Time(10.8), 0, 1)
+        );
+        assert!(
+            shutdown.may_close_connection(Time(13.6), 0, 1)
+                && !shutdown.may_close_connection(Time(13.6), 1, 0)
+        );
         let short = Shutdown::begin(Time(10.0), 0.3);
-        assert!(!short.must_conclude(Time(10.8)) && short.must_conclude(Time(10.9)));
+        assert!(!short.must_refuse_open(Time(10.8)) && short.must_refuse_open(Time(10.9)));
     }
 
     #[test]
     fn the_proxy_ends_once_no_connection_has_been_there_for_a_while() {
         let shutdown = Shutdown::begin(Time(10.0), 3.0);
-        assert!(!shutdown.may_end(Time(10.9), Time(10.0)), "callers may be about to connect");
-        assert!(!shutdown.may_end(Time(12.1), Time(12.0)), "a set-up may have crossed the close");
-        assert!(shutdown.may_end(Time(12.21), Time(12.0)));
+        assert!(!shutdown.may_exit(Time(10.9), Time(10.0)), "callers may be about to connect");
+        assert!(!shutdown.may_exit(Time(12.1), Time(12.0)), "a set-up may have crossed the close");
+        assert!(shutdown.may_exit(Time(12.21), Time(12.0)));
     }
 }
