--- a/src/calls/tenants.rs
+++ b/src/calls/tenants.rs
@@ -104,7 +104,7 @@
     }
 
     /// Makes all of the changes, or none.
-    pub fn change(&mut self, changes: &[Change]) -> Result<(), ChangeError> {
+    pub fn apply(&mut self, changes: &[Change]) -> Result<(), ChangeError> {
         let mut held = self.held.clone();
         for change in changes {
             match change {
--- a/src/calls/wheel.rs
+++ b/src/calls/wheel.rs
@@ -8,7 +8,7 @@
 
 /// Things that fall due at a time, each once. What is no longer wanted is ignored by whoever gets it.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<(u64, T)>>,
     origin: Time,
     /// The last tick whose slot was emptied.
@@ -16,10 +16,10 @@
     len: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel that starts to turn now.
     pub fn new(now: Time) -> Self {
-        Wheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), origin: now, done: 0, len: 0 }
+        TimerWheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), origin: now, done: 0, len: 0 }
     }
 
     fn ticks(&self, at: Time) -> f64 {
@@ -27,14 +27,14 @@
     }
 
     /// Takes a thing that falls due at the first tick at or after a time, though never the present one.
-    pub fn add(&mut self, at: Time, thing: T) {
+    pub fn insert(&mut self, at: Time, thing: T) {
         let tick = (self.ticks(at).ceil().clamp(0.0, 1e15) as u64).max(self.done + 1);
         self.slots[tick as usize % SLOTS].push((tick, thing));
         self.len += 1;
     }
 
     /// All that is due by now, in the order of its ticks.
-    pub fn due(&mut self, now: Time) -> Vec<T> {
+    pub fn take_due(&mut self, now: Time) -> Vec<T> {
         let last = self.ticks(now).floor().clamp(0.0, 1e15) as u64;
         let mut out = Vec::new();
         if self.len > 0 && last > self.done {
@@ -52,7 +52,7 @@
     }
 
     /// When the next tick ends that may bring something; `None` while the wheel is empty.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_tick(&self) -> Option<Time> {
         if self.len == 0 {
             return None;
         }
@@ -69,16 +69,16 @@
 
     #[test]
     fn things_come_once_in_order_and_never_early() {
-        let mut wheel = Wheel::new(Time(50.0));
+        let mut wheel = TimerWheel::new(Time(50.0));
         for (ix, at) in [50.301, 50.0, 99.0, 50.0149, 49.0].into_iter().enumerate() {
-            wheel.add(Time(at), ix);
+            wheel.insert(Time(at), ix);
         }
-        assert_eq!(wheel.due(Time(50.0)), Vec::<usize>::new(), "never in the present tick");
-        assert_eq!(wheel.due(Time(50.0101)), [1, 4]);
-        assert!(wheel.next().is_some_and(|t| (t.0 - 50.015).abs() < 1e-6));
-        assert_eq!(wheel.due(Time(50.0201)), [3]);
-        assert_eq!(wheel.due(Time(98.99)), [0], "a wait longer than a turn goes round");
-        assert_eq!(wheel.due(Time(99.01)), [2]);
-        assert_eq!(wheel.next(), None);
+        assert_eq!(wheel.take_due(Time(50.0)), Vec::<usize>::new(), "never in the present tick");
+        assert_eq!(wheel.take_due(Time(50.0101)), [1, 4]);
+        assert!(wheel.next_tick().is_some_and(|t| (t.0 - 50.015).abs() < 1e-6));
+        assert_eq!(wheel.take_due(Time(50.0201)), [3]);
+        assert_eq!(wheel.take_due(Time(98.99)), [0], "a wait longer than a turn goes round");
+        assert_eq!(wheel.take_due(Time(99.01)), [2]);
+        assert_eq!(wheel.next_tick(), None);
     }
 }
--- a/src/capture/replay.rs
+++ b/src/capture/replay.rs
@@ -51,7 +51,7 @@
             (_, None) => report.skipped_entries += 1,
             (EntryKind::TenantChanges(changes), Some(table)) => {
                 // A change that failed in the original run fails again, and has no effect in either.
-                let _ = table.tenants_mut().change(changes);
+                let _ = table.tenants_mut().apply(changes);
             }
             (EntryKind::Event(event), Some(table)) => {
                 output.clear();
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -10,7 +10,7 @@
 use super::platform::FrontMail;
 use super::post;
 use super::sip::SipMail;
-use crate::calls::wheel::Wheel;
+use crate::calls::wheel::TimerWheel;
 use crate::calls::{CallEvent, CallTimer};
 use crate::interface::{Secs, Time};
 use crate::sip::agent::AgentTimer;
@@ -57,9 +57,9 @@
     sip: Option<Sender<SipMail>>,
     platform: Option<Sender<FrontMail>>,
 ) {
-    let mut wheel = Wheel::new(clock.now());
+    let mut wheel = TimerWheel::new(clock.now());
     loop {
-        let got = match wheel.next() {
+        let got = match wheel.next_tick() {
             None => mailbox.recv().await.map(Some),
             Some(due) => {
                 let wait = Duration::from_secs_f64((due - clock.now()).max(0.0));
@@ -71,11 +71,11 @@
             }
         };
         match got {
-            Ok(Some((at, due))) => wheel.add(at, due),
+            Ok(Some((at, due))) => wheel.insert(at, due),
             Ok(None) => {}
             Err(_) => return,
         }
-        for due in wheel.due(clock.now()) {
+        for due in wheel.take_due(clock.now()) {
             match (due, &sip) {
                 (Due::Core(wake), _) => post(&engine, EngineMail::Input(CallEvent::TimerExpired(wake))).await,
                 (Due::Sip(alarm), Some(sip)) => post(sip, SipMail::Woken(alarm)).await,
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -121,7 +121,7 @@
                 }
                 EngineMail::Change(changes, reply) => {
                     tracing::info!(?changes, "tenants changed");
-                    let _ = reply.try_send(self.table.tenants_mut().change(&changes));
+                    let _ = reply.try_send(self.table.tenants_mut().apply(&changes));
                 }
                 EngineMail::Patience => patient = false,
                 EngineMail::Drain => {
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -275,7 +275,7 @@
     let set = |core: &mut Core, suspended, max_calls| {
         let change =
             Change::Set { name: "acme".into(), suspended: Some(suspended), max_calls: Some(max_calls) };
-        core.table.tenants_mut().change(&[change]).expect("it is there");
+        core.table.tenants_mut().apply(&[change]).expect("it is there");
     };
     set(&mut core, false, Some(1));
     let id = core.standing("a");
