--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -1,38 +1,44 @@
-//! Failure detector of one exchange: how long its silence is borne before its calls are released.
+//! Failure detector of one exchange: decides how long the exchange may be silent before its calls are released.
 //!
-//! A machine that vanishes breaks no connection, and discovery may be down, so neither can be waited for. What counts
-//! is proof of life: every message on a connection proves that the process at its other end was alive, and renews the
-//! lease of the calls which that process holds. Before the lease runs out a new connection is asked for; a process
-//! that is alive tells its state on it, and sends releases again that were lost. A lease that runs out ends the calls.
+//! A machine that vanishes closes no connection, and discovery may be unavailable, so neither reliably reports the
+//! failure. The detector relies on proof of life instead: each message on a connection proves that the process at the
+//! other end was alive, and renews the lease of the calls that this process holds. Before a lease expires, the detector
+//! asks for a new connection: a live process sends its state on it, and repeats releases that were lost. When a lease
+//! expires, its calls are released.
 //!
-//! A new connection proves that somebody listens at the address, not that it is the process which holds the calls: it
-//! may have been replaced. Two connections are taken to lead to one process only on evidence:
+//! A new connection proves that a process listens at the address, but not that this process holds the calls: it may
+//! have replaced the process that did. The detector assigns two connections to the same process only on evidence:
 //!
-//! - the older one has brought something after the newer one came up, or
-//! - the state that the newer one tells has as many circuits in use as the older process holds of ours. A process
-//!   that started anew holds none.
+//! - the older connection has delivered a message after the newer one was opened, or
+//! - the state received on the newer connection counts at least as many circuits in use as the calls of this proxy hold
+//!   at the exchange. A process that has just started counts none.
 //!
-//! No I/O, and time is a parameter. The figures come from the platform's protocol page, 'The rules on sockets': a call
-//! that is over and whose release could not be sent is released to its caller within 8 s of its end.
+//! The timing follows from a rule of the platform's protocol: when a call has ended and its release could not be sent,
+//! the call is released to its caller within 8 s of its end.
+//!
+//! No I/O, and time is a parameter.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{CallId, LoadReport, Secs, Time};
 
-/// When the detector acts, in seconds.
+/// Intervals of the detector, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// From the last proof of life until the calls of a process are released.
+    /// Time from the last message of a process until its calls are released.
     pub lease: Secs,
-    /// From the last proof of life until a new connection is asked for.
+    /// Time from the last message of a process that holds calls until a new connection is asked for.
     pub verify_after: Secs,
-    /// From one request for a connection to the next.
+    /// Minimum time between two requests for a new connection.
     pub verify_interval: Secs,
-    /// A connection is broken that misses a state for so long after another one has brought it.
+    /// Time within which a state that one connection has delivered has to arrive on the others. A connection that
+    /// misses it for longer is replaced.
     pub state_lag: Secs,
-    /// Releases may follow the state that counts their calls no more by so long; then they are held for lost.
+    /// Time within which a release has to follow the state that no longer counts its call. After that the release
+    /// counts as lost.
     pub release_lag: Secs,
-    /// A connection that came up so long before another one brought something came up beside it.
+    /// A newer connection is assigned to the process of an older one if the older one delivers a message at least this
+    /// long after the newer one was opened.
     pub overlap: Secs,
 }
 
@@ -49,23 +55,23 @@
     }
 }
 
-/// How a connection ended.
+/// How a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseKind {
-    /// The other side closed it in order, and so was alive.
+    /// The exchange closed it in order, which proves that its process was alive.
     ByPeer,
-    /// It was reset, cut, or closed by us.
+    /// It was reset, interrupted or closed by this proxy, which proves nothing.
     Other,
 }
 
-/// What is to be done.
+/// An action that the detector asks its owner to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Open one more connection, to hear whether the exchange is alive.
+    /// Open one more connection: a live exchange sends its state on it.
     Verify,
-    /// This connection brings nothing while others do: replace it once no set-up is open on it.
+    /// This connection delivers no states while others do. Replace it once no set-up is open on it.
     Replace(u64),
-    /// Nothing proves any longer that these calls stand: release them, and close these connections.
+    /// Nothing proves any longer that these calls exist at the exchange. Release them, and close these connections.
     Expire {
         /// The calls to release.
         calls: Vec<CallId>,
@@ -74,20 +80,21 @@
     },
 }
 
-/// A process at the exchange's address, as far as connections can be told to lead to the same one.
+/// Number of a process at the exchange's address. Each connection starts with a number of its own; connections share a
+/// number once there is evidence that they lead to the same process.
 type Process = u64;
 
 #[derive(Debug)]
 struct Connection {
     process: Process,
     opened: Time,
-    /// It has brought its first message, which is a state.
-    informed: bool,
-    /// It has brought a state beyond its first message, so that it is known to get them.
-    gets_states: bool,
-    /// When another connection first brought a state that this one has not.
+    /// At least one message has arrived on it. The first one is a state.
+    has_received: bool,
+    /// A state has arrived after the first message, so the exchange is known to send state changes on it.
+    receives_states: bool,
+    /// When another connection first delivered a state that this one has not.
     missing_since: Option<Time>,
-    /// It was named for replacement.
+    /// Its replacement was asked for.
     replaced: bool,
 }
 
@@ -95,7 +102,7 @@
 struct Call {
     process: Process,
     width: u32,
-    stands_since: Time,
+    established: Time,
 }
 
 /// The failure detector of one exchange.
@@ -103,131 +110,135 @@
 pub struct FailureDetector {
     timing: Timing,
     connections: BTreeMap<u64, Connection>,
-    /// The last proof of life of each process that holds calls or connections.
-    proofs: BTreeMap<Process, Time>,
+    /// The last proof of life of each process that has calls or connections.
+    last_alive: BTreeMap<Process, Time>,
     calls: BTreeMap<CallId, Call>,
     next_process: Process,
-    /// When a connection was last asked for.
-    asked: Option<Time>,
-    /// Circuits in use, as the last state told.
-    used: Option<f64>,
-    /// States have counted our calls before, so that one which counts fewer says something.
-    counts_ours: bool,
-    missing: Option<Missing>,
+    /// When a new connection was last asked for.
+    last_verify: Option<Time>,
+    /// Circuits in use according to the last state.
+    circuits_in_use: Option<f64>,
+    /// A state has counted our calls before. Only then does a state that counts fewer circuits show lost releases.
+    counts_our_calls: bool,
+    lost_releases: Option<LostReleases>,
 }
 
-/// A state counts fewer circuits in use than we hold there: releases were lost.
+/// A state counts fewer circuits in use than our calls hold at the exchange: releases are late or lost.
 #[derive(Clone, Copy, Debug)]
-struct Missing {
-    /// When it came.
-    seen: Time,
-    /// The last proof of life before it: the calls were still there.
-    proof: Time,
+struct LostReleases {
+    /// When the state arrived.
+    detected: Time,
+    /// The last proof of life before the state. The calls may have ended at any time since then.
+    alive_before: Time,
 }
 
 impl FailureDetector {
-    /// A detector that knows of no connection and no call.
+    /// Creates a detector without connections and calls.
     pub fn new(timing: Timing) -> Self {
         FailureDetector {
             timing,
             connections: BTreeMap::new(),
-            proofs: BTreeMap::new(),
+            last_alive: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_process: 0,
-            asked: None,
-            used: None,
-            counts_ours: false,
-            missing: None,
+            last_verify: None,
+            circuits_in_use: None,
+            counts_our_calls: false,
+            lost_releases: None,
         }
     }
 
-    /// Calls that stand on the exchange.
+    /// Number of established calls at the exchange.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// A connection has come up. It is not known yet which process it leads to.
+    /// Records that a connection was opened. The process that it leads to is not known yet.
     pub fn connection_opened(&mut self, now: Time, connection: u64) {
         let process = self.next_process;
         self.next_process += 1;
         let opened = Connection {
             process,
             opened: now,
-            informed: false,
-            gets_states: false,
+            has_received: false,
+            receives_states: false,
             missing_since: None,
             replaced: false,
         };
         self.connections.insert(connection, opened);
-        self.proofs.insert(process, now);
+        self.last_alive.insert(process, now);
     }
 
-    /// A connection has brought a message.
+    /// Records that a message has arrived on a connection.
     pub fn message_received(&mut self, now: Time, connection: u64) {
-        let Some(at) = self.connections.get_mut(&connection) else { return };
-        (at.informed, at.missing_since) = (true, None);
-        let (process, opened) = (at.process, at.opened);
-        self.prove(process, now);
-        // Whatever came up while this process was there leads to it.
+        let Some(receiver) = self.connections.get_mut(&connection) else { return };
+        (receiver.has_received, receiver.missing_since) = (true, None);
+        let (process, opened) = (receiver.process, receiver.opened);
+        self.renew_lease(process, now);
+        // Connections that were opened while this process was running lead to it.
         let overlap = self.timing.overlap;
-        let beside = |c: &Connection| c.opened >= opened && now - c.opened >= overlap && c.process != process;
+        let opened_meanwhile =
+            |c: &Connection| c.opened >= opened && now - c.opened >= overlap && c.process != process;
         let same: BTreeSet<Process> =
-            self.connections.values().filter(|c| beside(c)).map(|c| c.process).collect();
+            self.connections.values().filter(|c| opened_meanwhile(c)).map(|c| c.process).collect();
         for other in same {
             self.merge(other, process);
         }
     }
 
-    /// A connection has brought the state of the trunk group.
+    /// Records that the state of the trunk group has arrived on a connection.
     pub fn state_received(&mut self, now: Time, connection: u64, report: &LoadReport) {
-        // That of the processes which hold calls: a connection that has just come up proves nothing of them.
-        let proof = self.oldest_proof();
-        let Some(at) = self.connections.get_mut(&connection) else { return };
-        let process = at.process;
-        let change = at.informed;
-        at.gets_states |= change;
+        // Read before this message renews a lease. Only processes that hold calls count: a connection that has just
+        // been opened proves nothing about them.
+        let alive_before = self.oldest_proof_of_life();
+        let Some(receiver) = self.connections.get_mut(&connection) else { return };
+        let process = receiver.process;
+        let is_change = receiver.has_received;
+        receiver.receives_states |= is_change;
         self.message_received(now, connection);
-        if change {
-            // Every open connection is told of it.
-            let others = self.connections.iter_mut().filter(|(no, c)| **no != connection && c.gets_states);
+        if is_change {
+            // The exchange sends each change of its state on every open connection.
+            let others =
+                self.connections.iter_mut().filter(|(no, c)| **no != connection && c.receives_states);
             for (_, other) in others {
                 other.missing_since = other.missing_since.or(Some(now));
             }
         }
-        self.count(now, proof, report);
-        if self.holds_our_calls(process, report) {
-            let others: Vec<Process> = self.proofs.keys().copied().filter(|p| *p != process).collect();
+        self.compare_circuits(now, alive_before, report);
+        if self.accounts_for_our_calls(process, report) {
+            let others: Vec<Process> = self.last_alive.keys().copied().filter(|p| *p != process).collect();
             for other in others {
                 self.merge(other, process);
             }
         }
     }
 
-    /// Compares the circuits in use with those of our calls.
-    fn count(&mut self, now: Time, proof: Option<Time>, report: &LoadReport) {
+    /// Compares the circuits in use that a state reports with those of our calls.
+    fn compare_circuits(&mut self, now: Time, alive_before: Option<Time>, report: &LoadReport) {
         let (Some(free), Some(size)) = (report.free_circuits, report.group_size) else { return };
-        self.used = Some(size - free);
-        if !self.counts_fewer() {
-            self.counts_ours |= !self.calls.is_empty();
-            self.missing = None;
-        } else if self.counts_ours && self.missing.is_none() {
-            self.missing = Some(Missing { seen: now, proof: proof.unwrap_or(now) });
+        self.circuits_in_use = Some(size - free);
+        if !self.counts_too_few() {
+            self.counts_our_calls |= !self.calls.is_empty();
+            self.lost_releases = None;
+        } else if self.counts_our_calls && self.lost_releases.is_none() {
+            self.lost_releases =
+                Some(LostReleases { detected: now, alive_before: alive_before.unwrap_or(now) });
         }
     }
 
-    /// The last state counts fewer circuits in use than our calls hold.
-    fn counts_fewer(&self) -> bool {
-        self.used.is_some_and(|used| used + 1e-9 < f64::from(self.circuits_held()))
+    /// Whether the last state counts fewer circuits in use than our calls hold.
+    fn counts_too_few(&self) -> bool {
+        self.circuits_in_use.is_some_and(|in_use| in_use + 1e-9 < f64::from(self.circuits_of_our_calls()))
     }
 
-    fn circuits_held(&self) -> u32 {
+    fn circuits_of_our_calls(&self) -> u32 {
         self.calls.values().map(|call| call.width).sum()
     }
 
-    /// Whether a state shows as many circuits in use as we hold there. Where it tells no circuits, a process whose
-    /// connections are still open is believed to be the one that tells it.
-    fn holds_our_calls(&self, process: Process, report: &LoadReport) -> bool {
-        let ours = self.circuits_held();
+    /// Whether a state reports at least as many circuits in use as our calls hold. If it reports no circuits, it is
+    /// taken to come from the process of our calls as long as that process has an open connection.
+    fn accounts_for_our_calls(&self, process: Process, report: &LoadReport) -> bool {
+        let ours = self.circuits_of_our_calls();
         match (report.free_circuits, report.group_size) {
             (Some(free), Some(size)) => size - free + 1e-9 >= f64::from(ours),
             _ => self.calls.values().all(|call| {
@@ -236,56 +247,56 @@
         }
     }
 
-    /// A connection has ended.
-    pub fn connection_closed(&mut self, now: Time, connection: u64, ending: CloseKind) {
+    /// Records that a connection was closed.
+    pub fn connection_closed(&mut self, now: Time, connection: u64, kind: CloseKind) {
         let Some(closed) = self.connections.remove(&connection) else { return };
-        if ending == CloseKind::ByPeer {
-            self.prove(closed.process, now);
+        if kind == CloseKind::ByPeer {
+            self.renew_lease(closed.process, now);
         }
-        self.forget_if_empty(closed.process);
+        self.remove_if_unused(closed.process);
     }
 
-    /// A call stands; its answer came on this connection.
+    /// Records that a call was established by an answer on this connection.
     pub fn call_established(&mut self, now: Time, connection: u64, call: CallId, width: u32) {
-        let Some(at) = self.connections.get(&connection) else { return };
-        let process = at.process;
-        self.calls.insert(call, Call { process, width, stands_since: now });
-        // Its circuits were taken, and told of, before it was answered.
-        self.counts_ours |= self.used.is_some() && !self.counts_fewer();
+        let Some(receiver) = self.connections.get(&connection) else { return };
+        let process = receiver.process;
+        self.calls.insert(call, Call { process, width, established: now });
+        // The exchange seizes the circuits of a call, and reports them in its state, before it answers the call.
+        self.counts_our_calls |= self.circuits_in_use.is_some() && !self.counts_too_few();
     }
 
-    /// A call is over, whoever ended it.
+    /// Records that a call has ended, from either side.
     pub fn call_ended(&mut self, call: &CallId) {
         if let Some(call) = self.calls.remove(call) {
-            self.forget_if_empty(call.process);
-            if !self.counts_fewer() {
-                self.missing = None;
+            self.remove_if_unused(call.process);
+            if !self.counts_too_few() {
+                self.lost_releases = None;
             }
         }
     }
 
-    /// The calls that stood before a time are over: the process has been started anew.
+    /// Records that the exchange restarted at this time: calls established until then have ended.
     pub fn process_restarted(&mut self, at: Time) {
-        self.calls.retain(|_, call| call.stands_since > at);
-        let empty: Vec<Process> = self.proofs.keys().copied().collect();
-        empty.into_iter().for_each(|process| self.forget_if_empty(process));
+        self.calls.retain(|_, call| call.established > at);
+        let processes: Vec<Process> = self.last_alive.keys().copied().collect();
+        processes.into_iter().for_each(|process| self.remove_if_unused(process));
     }
 
-    /// All calls are over.
+    /// Records that the process has died: all calls have ended.
     pub fn process_died(&mut self) {
         let calls = std::mem::take(&mut self.calls);
         for call in calls.into_values() {
-            self.forget_if_empty(call.process);
+            self.remove_if_unused(call.process);
         }
     }
 
-    fn prove(&mut self, process: Process, now: Time) {
-        if let Some(proof) = self.proofs.get_mut(&process) {
-            *proof = Time(proof.0.max(now.0));
+    fn renew_lease(&mut self, process: Process, now: Time) {
+        if let Some(alive) = self.last_alive.get_mut(&process) {
+            *alive = Time(alive.0.max(now.0));
         }
     }
 
-    /// One process turns out to be another one.
+    /// Assigns the connections and calls of one process to another, as both have turned out to be the same.
     fn merge(&mut self, from: Process, into: Process) {
         for connection in self.connections.values_mut().filter(|c| c.process == from) {
             connection.process = into;
@@ -293,62 +304,69 @@
         for call in self.calls.values_mut().filter(|c| c.process == from) {
             call.process = into;
         }
-        if let Some(proof) = self.proofs.remove(&from) {
-            self.prove(into, proof);
+        if let Some(alive) = self.last_alive.remove(&from) {
+            self.renew_lease(into, alive);
         }
     }
 
-    fn forget_if_empty(&mut self, process: Process) {
+    fn remove_if_unused(&mut self, process: Process) {
         let used = self.connections.values().any(|c| c.process == process)
             || self.calls.values().any(|c| c.process == process);
         if !used {
-            self.proofs.remove(&process);
+            self.last_alive.remove(&process);
         }
     }
 
-    /// The oldest proof of life among the processes that hold calls.
-    fn oldest_proof(&self) -> Option<Time> {
+    /// The oldest of the last proofs of life of the processes that hold calls.
+    fn oldest_proof_of_life(&self) -> Option<Time> {
         let holders: BTreeSet<Process> = self.calls.values().map(|call| call.process).collect();
-        let proofs = holders.iter().filter_map(|process| self.proofs.get(process));
+        let proofs = holders.iter().filter_map(|process| self.last_alive.get(process));
         proofs.copied().reduce(|a, b| if b < a { b } else { a })
     }
 
-    /// When [`FailureDetector::check`] may have something to do; `None` while no call stands.
+    /// When [`FailureDetector::check`] is due next; `None` while no call is established.
     pub fn next_check(&self, now: Time) -> Option<Time> {
-        let oldest = self.oldest_proof()?;
+        let oldest = self.oldest_proof_of_life()?;
         let verify = oldest + self.timing.verify_after;
-        let again = self.asked.map_or(verify, |at| Time(verify.0.max((at + self.timing.verify_interval).0)));
+        let next_verify =
+            self.last_verify.map_or(verify, |at| Time(verify.0.max((at + self.timing.verify_interval).0)));
         let missing = self.connections.values().filter(|c| !c.replaced).filter_map(|c| c.missing_since);
-        let broken = missing.map(|since| since + self.timing.state_lag);
-        let lost = self.missing.map(|missing| {
-            let asked = self.asked.map_or(f64::NEG_INFINITY, |at| (at + self.timing.verify_interval).0);
-            let verify = (missing.seen + self.timing.release_lag).0.max(asked);
-            Time(verify.min((missing.proof + self.timing.lease).0))
+        let replacements = missing.map(|since| since + self.timing.state_lag);
+        let lost_checks = self.lost_releases.map(|lost| {
+            let verify_allowed =
+                self.last_verify.map_or(f64::NEG_INFINITY, |at| (at + self.timing.verify_interval).0);
+            let verify = (lost.detected + self.timing.release_lag).0.max(verify_allowed);
+            Time(verify.min((lost.alive_before + self.timing.lease).0))
         });
-        let next = broken
-            .chain(lost)
-            .chain([again, oldest + self.timing.lease])
+        let next = replacements
+            .chain(lost_checks)
+            .chain([next_verify, oldest + self.timing.lease])
             .fold(f64::INFINITY, |a, b| a.min(b.0));
         Some(Time(next.max(now.0)))
     }
 
-    /// What silence calls for by now.
+    /// Returns the actions that are due. A tolerance of 1 µs on each interval covers the rounding of the time that
+    /// [`FailureDetector::next_check`] gives.
     pub fn check(&mut self, now: Time) -> Vec<Effect> {
-        let mut effects: Vec<Effect> = self.expired(now).into_iter().chain(self.lost(now)).collect();
-        let missing = self.missing.is_some_and(|m| now - m.seen >= self.timing.release_lag - 1e-6);
-        let quiet = self.oldest_proof().is_some_and(|at| now - at >= self.timing.verify_after - 1e-6);
-        let due = self.asked.is_none_or(|at| now - at >= self.timing.verify_interval - 1e-6);
-        if (quiet || missing) && due {
-            self.asked = Some(now);
+        let mut effects: Vec<Effect> =
+            self.expire_leases(now).into_iter().chain(self.expire_lost_releases(now)).collect();
+        let release_lost =
+            self.lost_releases.is_some_and(|l| now - l.detected >= self.timing.release_lag - 1e-6);
+        let silent =
+            self.oldest_proof_of_life().is_some_and(|at| now - at >= self.timing.verify_after - 1e-6);
+        let may_verify = self.last_verify.is_none_or(|at| now - at >= self.timing.verify_interval - 1e-6);
+        if (silent || release_lost) && may_verify {
+            self.last_verify = Some(now);
             effects.push(Effect::Verify);
         }
-        effects.extend(self.broken(now));
+        effects.extend(self.replace_silent_connections(now));
         effects
     }
 
-    fn expired(&mut self, now: Time) -> Option<Effect> {
+    /// Ends the calls of processes whose lease has expired.
+    fn expire_leases(&mut self, now: Time) -> Option<Effect> {
         let lease = self.timing.lease - 1e-6;
-        let dead = |process: &Process| self.proofs.get(process).is_none_or(|at| now - *at >= lease);
+        let dead = |process: &Process| self.last_alive.get(process).is_none_or(|at| now - *at >= lease);
         let expired = |call: &Call| dead(&call.process);
         let calls: Vec<CallId> =
             self.calls.iter().filter(|(_, call)| expired(call)).map(|(id, _)| id.clone()).collect();
@@ -357,18 +375,19 @@
         }
         let holders: BTreeSet<Process> =
             calls.iter().filter_map(|id| self.calls.get(id)).map(|call| call.process).collect();
-        let held = |(_, c): &(&u64, &Connection)| holders.contains(&c.process);
-        let connections = self.connections.iter().filter(held).map(|(no, _)| *no).collect();
+        let of_holders = |(_, c): &(&u64, &Connection)| holders.contains(&c.process);
+        let connections = self.connections.iter().filter(of_holders).map(|(no, _)| *no).collect();
         calls.iter().for_each(|id| self.call_ended(id));
         Some(Effect::Expire { calls, connections })
     }
 
-    /// Calls whose releases were lost and did not come again: which of them they are is not known.
-    fn lost(&mut self, now: Time) -> Option<Effect> {
-        let missing = self.missing.filter(|m| now - m.proof >= self.timing.lease - 1e-6)?;
-        let before = self.calls.iter().filter(|(_, call)| call.stands_since <= missing.seen);
+    /// Ends the calls established before a release was lost that the exchange has not repeated. Which of these calls
+    /// the release belongs to is unknown, so all of them end.
+    fn expire_lost_releases(&mut self, now: Time) -> Option<Effect> {
+        let lost = self.lost_releases.filter(|l| now - l.alive_before >= self.timing.lease - 1e-6)?;
+        let before = self.calls.iter().filter(|(_, call)| call.established <= lost.detected);
         let calls: Vec<CallId> = before.map(|(id, _)| id.clone()).collect();
-        self.missing = None;
+        self.lost_releases = None;
         if calls.is_empty() {
             return None;
         }
@@ -376,10 +395,10 @@
         Some(Effect::Expire { calls, connections: Vec::new() })
     }
 
-    /// Connections that miss a state which another one has brought.
-    fn broken(&mut self, now: Time) -> Vec<Effect> {
+    /// Asks for the replacement of connections that miss a state which another connection has delivered.
+    fn replace_silent_connections(&mut self, now: Time) -> Vec<Effect> {
         let lag = self.timing.state_lag - 1e-6;
-        let broken = self
+        let missing_states = self
             .connections
             .iter_mut()
             .filter(|(_, c)| !c.replaced && c.missing_since.is_some_and(|since| now - since >= lag));
@@ -387,6 +406,6 @@
             connection.replaced = true;
             Effect::Replace(*no)
         };
-        broken.map(replace).collect()
+        missing_states.map(replace).collect()
     }
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,3 +1,3 @@
-//! Who is there: what is concluded of an exchange from what its connections bring. No I/O.
+//! Liveness of exchanges, judged by what arrives on their connections. No I/O.
 
 pub mod liveness;
