--- a/src/limits/connections.rs
+++ b/src/limits/connections.rs
@@ -1,8 +1,9 @@
-//! Which exchange may hold how many connections, when there are fewer descriptors than would be best.
+//! Budget of connections to exchanges: how many each exchange may have, given the descriptors that are available.
 //!
-//! Each exchange holds three connections at best, so that what spoils one ends only the set-ups on it. As exchanges grow
-//! in number this falls to two and to one. Where not even one each fits, exchanges that are in use keep theirs, and an
-//! idle one is connected when it is needed, in the place of the one that has been idle the longest.
+//! Each exchange has up to three connections, so that a fault of one connection ends only the set-ups on it. With
+//! more exchanges, the number falls to two and then to one. If the budget does not allow one connection per exchange,
+//! busy exchanges keep theirs. An idle exchange is connected when it is needed, and takes the place of the exchange
+//! that has been idle the longest.
 //!
 //! No I/O, and time is a parameter.
 
@@ -10,135 +11,140 @@
 
 use crate::interface::{ExchangeId, Time};
 
-/// The most connections to one exchange at best.
+/// Maximum number of connections to one exchange.
 pub const MAX_PER_EXCHANGE: usize = 3;
-/// One part in so many of the budget is kept for liveness checks and for what is about to be closed.
-const SPARE_PART: usize = 16;
+/// Divisor of the budget that gives the spare connections. They are kept for needed connections and liveness checks,
+/// and for connections that are about to be closed.
+const SPARE_DIVISOR: usize = 16;
 
-/// What a connection is wanted for, from the least urgent.
+/// Purpose of a requested connection, from the least urgent to the most urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
-    /// One beside others that are there.
+    /// An additional connection to an exchange that has one.
     Another,
-    /// The first one, to hear the state of the trunk group.
+    /// The first connection to an idle exchange, to receive the state of its trunk group.
     Idle,
-    /// The first one, and something waits for it.
+    /// The first connection to an exchange for which set-ups wait or calls are established.
     Needed,
-    /// To hear whether a silent exchange is alive.
+    /// A liveness check of a silent exchange.
     Verify,
 }
 
-/// What is answered.
+/// Answer to a request for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Allocation {
-    /// It may be opened, and counts from now on.
+    /// The connection may be opened, and is counted from now on.
     Granted,
-    /// This exchange is to give a connection up first; then ask again.
+    /// Another exchange, named here, has to close a connection first. Request again afterwards.
     AfterClosing(ExchangeId),
-    /// Not now.
+    /// No connection is available.
     Denied,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Holder {
+struct ExchangeUsage {
     connections: usize,
-    /// Set-ups are open there or calls stand.
+    /// The exchange has open set-ups or established calls.
     busy: bool,
-    used: Time,
-    /// It was asked to give one up.
-    yielding: bool,
+    /// When it last became busy or idle.
+    last_used: Time,
+    /// It was asked to close a connection.
+    close_requested: bool,
 }
 
-/// The connections to exchanges, counted against their part of the descriptors.
+/// Connections to exchanges, counted against their share of the descriptors.
 #[derive(Debug)]
 pub struct ConnectionBudget {
     limit: usize,
-    held: usize,
-    holders: BTreeMap<ExchangeId, Holder>,
+    allocated: usize,
+    usages: BTreeMap<ExchangeId, ExchangeUsage>,
 }
 
 impl ConnectionBudget {
-    /// A budget of so many connections.
+    /// Creates a budget of `limit` connections.
     pub fn new(limit: usize) -> Self {
-        ConnectionBudget { limit, held: 0, holders: BTreeMap::new() }
+        ConnectionBudget { limit, allocated: 0, usages: BTreeMap::new() }
     }
 
-    /// Connections held.
+    /// Number of connections that are open or granted.
     pub fn allocated(&self) -> usize {
-        self.held
+        self.allocated
     }
 
-    /// Connections that may be held.
+    /// Maximum number of connections to all exchanges together.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Exchanges that are known.
+    /// Number of exchanges in the budget.
     pub fn exchange_count(&self) -> usize {
-        self.holders.len()
+        self.usages.len()
     }
 
+    /// Number of connections that are kept for urgent purposes.
     fn spare(&self) -> usize {
-        (self.limit / SPARE_PART).max(1)
+        (self.limit / SPARE_DIVISOR).max(1)
     }
 
-    /// How many connections an exchange holds at best now.
+    /// Number of connections that each exchange is to have with the present number of exchanges.
     pub fn target_per_exchange(&self) -> usize {
-        let most = self.limit.saturating_sub(self.spare());
-        (most / self.holders.len().max(1)).clamp(1, MAX_PER_EXCHANGE)
+        let available = self.limit.saturating_sub(self.spare());
+        (available / self.usages.len().max(1)).clamp(1, MAX_PER_EXCHANGE)
     }
 
-    /// Whether every exchange can have a connection.
+    /// Whether the budget allows one connection per exchange.
     pub fn fits_one_each(&self) -> bool {
-        self.holders.len() + self.spare() <= self.limit
+        self.usages.len() + self.spare() <= self.limit
     }
 
-    /// An exchange is there.
+    /// Adds an exchange.
     pub fn add_exchange(&mut self, now: Time, office: ExchangeId) {
-        let holder = Holder { connections: 0, busy: false, used: now, yielding: false };
-        self.holders.entry(office).or_insert(holder);
+        let usage = ExchangeUsage { connections: 0, busy: false, last_used: now, close_requested: false };
+        self.usages.entry(office).or_insert(usage);
     }
 
-    /// An exchange is gone, with all its connections.
+    /// Removes an exchange together with its connections.
     pub fn remove_exchange(&mut self, office: ExchangeId) {
-        if let Some(holder) = self.holders.remove(&office) {
-            self.held -= holder.connections;
+        if let Some(usage) = self.usages.remove(&office) {
+            self.allocated -= usage.connections;
         }
     }
 
-    /// An exchange has come into use or out of it.
+    /// Records that an exchange has become busy or idle.
     pub fn set_busy(&mut self, now: Time, office: ExchangeId, busy: bool) {
-        if let Some(holder) = self.holders.get_mut(&office) {
-            holder.busy = busy;
-            holder.used = now;
+        if let Some(usage) = self.usages.get_mut(&office) {
+            usage.busy = busy;
+            usage.last_used = now;
         }
     }
 
-    /// A connection is wanted.
+    /// Requests a connection to an exchange.
     pub fn request(&mut self, office: ExchangeId, purpose: Purpose) -> Allocation {
-        let free = self.limit.saturating_sub(self.held);
-        let (spare, best) = (self.spare(), self.target_per_exchange());
-        let Some(holder) = self.holders.get_mut(&office) else { return Allocation::Denied };
+        let free = self.limit.saturating_sub(self.allocated);
+        let (spare, target) = (self.spare(), self.target_per_exchange());
+        let Some(usage) = self.usages.get_mut(&office) else { return Allocation::Denied };
         let granted = match purpose {
-            Purpose::Another => holder.connections < best && free > spare,
+            Purpose::Another => usage.connections < target && free > spare,
             Purpose::Idle => free > spare,
             Purpose::Needed | Purpose::Verify => free > 0,
         };
         if granted {
-            holder.connections += 1;
-            self.held += 1;
+            usage.connections += 1;
+            self.allocated += 1;
             return Allocation::Granted;
         }
         let victim = match purpose {
             Purpose::Another => None,
-            // The fleet has grown: whoever holds more than is best now gives way.
-            Purpose::Idle => self.richest(office).filter(|(_, held)| *held > best),
-            Purpose::Needed | Purpose::Verify => self.richest(office).or_else(|| self.idlest(office)),
+            // More exchanges have been added: one with more connections than its present share closes one.
+            Purpose::Idle => self.most_connected(office).filter(|(_, allocated)| *allocated > target),
+            Purpose::Needed | Purpose::Verify => {
+                self.most_connected(office).or_else(|| self.longest_idle(office))
+            }
         };
         match victim.map(|(id, _)| id) {
             Some(victim) => {
-                if let Some(holder) = self.holders.get_mut(&victim) {
-                    holder.yielding = true;
+                if let Some(usage) = self.usages.get_mut(&victim) {
+                    usage.close_requested = true;
                 }
                 Allocation::AfterClosing(victim)
             }
@@ -146,36 +152,42 @@
         }
     }
 
-    /// Exchanges that could give a connection up.
-    fn others(&self, asking: ExchangeId) -> impl Iterator<Item = (&ExchangeId, &Holder)> {
-        self.holders.iter().filter(move |(id, h)| **id != asking && h.connections > 0 && !h.yielding)
+    /// Exchanges that have a connection to close and were not asked to close one yet.
+    fn others(&self, requester: ExchangeId) -> impl Iterator<Item = (&ExchangeId, &ExchangeUsage)> {
+        self.usages
+            .iter()
+            .filter(move |(id, other)| **id != requester && other.connections > 0 && !other.close_requested)
     }
 
-    /// Who holds the most, if that is more than one, with how many; an idle one before a busy one.
-    fn richest(&self, asking: ExchangeId) -> Option<(ExchangeId, usize)> {
-        let rich = self.others(asking).filter(|(_, holder)| holder.connections > 1);
-        rich.max_by_key(|(_, holder)| (holder.connections, !holder.busy)).map(|(id, h)| (*id, h.connections))
+    /// The exchange with the most connections, if it has more than one, with their number. Idle exchanges come first
+    /// among equals.
+    fn most_connected(&self, requester: ExchangeId) -> Option<(ExchangeId, usize)> {
+        let candidates = self.others(requester).filter(|(_, usage)| usage.connections > 1);
+        candidates
+            .max_by_key(|(_, usage)| (usage.connections, !usage.busy))
+            .map(|(id, other)| (*id, other.connections))
     }
 
-    /// Who is idle and has not been used for the longest.
-    fn idlest(&self, asking: ExchangeId) -> Option<(ExchangeId, usize)> {
-        let idle = self.others(asking).filter(|(_, holder)| !holder.busy);
-        idle.min_by(|(_, a), (_, b)| a.used.0.total_cmp(&b.used.0)).map(|(id, h)| (*id, h.connections))
+    /// The exchange that has been idle the longest, with the number of its connections.
+    fn longest_idle(&self, requester: ExchangeId) -> Option<(ExchangeId, usize)> {
+        let idle = self.others(requester).filter(|(_, usage)| !usage.busy);
+        idle.min_by(|(_, a), (_, b)| a.last_used.0.total_cmp(&b.last_used.0))
+            .map(|(id, other)| (*id, other.connections))
     }
 
-    /// A connection has ended, or was granted and did not come up.
+    /// Records that a connection was closed, or was granted and could not be opened.
     pub fn connection_closed(&mut self, office: ExchangeId) {
-        if let Some(holder) = self.holders.get_mut(&office) {
-            self.held -= holder.connections.min(1);
-            holder.connections = holder.connections.saturating_sub(1);
-            holder.yielding = false;
+        if let Some(usage) = self.usages.get_mut(&office) {
+            self.allocated -= usage.connections.min(1);
+            usage.connections = usage.connections.saturating_sub(1);
+            usage.close_requested = false;
         }
     }
 
-    /// An exchange can't give one up now.
+    /// Records that an exchange cannot close a connection now.
     pub fn close_declined(&mut self, office: ExchangeId) {
-        if let Some(holder) = self.holders.get_mut(&office) {
-            holder.yielding = false;
+        if let Some(usage) = self.usages.get_mut(&office) {
+            usage.close_requested = false;
         }
     }
 }
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -1,23 +1,25 @@
-//! The limit on file descriptors, parted among those who hold them.
+//! Division of the limit on file descriptors among callers, exchanges and administration.
 
-/// Descriptors that are never given to a peer: standard streams, listeners, poller, signals, discovery (the old and the
-/// new connection during a move), and room so that accept and the log go on.
-const RESERVE_LEAST: usize = 24;
-/// The reserve as a share of the limit: one part in so many.
-const RESERVE_PART: usize = 8;
-/// Callers hold at most one part in so many of the limit (protocol page, 'Callers to signalling proxies').
-const CALLERS_PART: usize = 3;
-/// Callers beyond that are let in to be refused in words.
-const CALLERS_BEYOND: usize = 8;
-/// Connections of the administration's interfaces, where they are on.
-const ADMINISTRATION: usize = 40;
-/// The fewest descriptors with which a proxy can serve.
+/// Minimum number of descriptors that no peer gets: for standard streams, listeners, poller, signals and discovery
+/// (the old and the new connection during a move), with some to spare so that accepting connections and logging
+/// always work.
+const MIN_RESERVE: usize = 24;
+/// Divisor of the limit that gives the reserve.
+const RESERVE_DIVISOR: usize = 8;
+/// Divisor of the limit that gives the connections of callers. The platform's protocol lets callers hold at most a
+/// third of the limit.
+const CALLERS_DIVISOR: usize = 3;
+/// Further connections from callers that are accepted only to answer their requests with a refusal.
+const CALLERS_TO_REFUSE: usize = 8;
+/// Maximum number of connections to the administration interfaces, if these are enabled.
+const ADMINISTRATION_CONNECTIONS: usize = 40;
+/// Minimum limit on descriptors with which a proxy can run.
 pub const MIN_DESCRIPTORS: usize = 128;
 
-/// How many descriptors each part may hold.
+/// Number of descriptors for each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorPlan {
-    /// The limit of the deployment.
+    /// The limit that the deployment sets.
     pub limit: usize,
     /// Connections from callers.
     pub callers: usize,
@@ -25,16 +27,17 @@
     pub exchanges: usize,
     /// Connections to the administration.
     pub administration: usize,
-    /// Held by nobody in particular.
+    /// The reserve, which no peer gets.
     pub reserve: usize,
 }
 
 impl DescriptorPlan {
-    /// Parts a limit; the administration gets its part only where it is on.
+    /// Divides a limit. The administration gets a share only if it is enabled.
     pub fn new(limit: usize, administration: bool) -> Self {
-        let reserve = (limit / RESERVE_PART).max(RESERVE_LEAST);
-        let administration = if administration { ADMINISTRATION.min(limit / RESERVE_PART) } else { 0 };
-        let callers = limit / CALLERS_PART + CALLERS_BEYOND;
+        let reserve = (limit / RESERVE_DIVISOR).max(MIN_RESERVE);
+        let administration =
+            if administration { ADMINISTRATION_CONNECTIONS.min(limit / RESERVE_DIVISOR) } else { 0 };
+        let callers = limit / CALLERS_DIVISOR + CALLERS_TO_REFUSE;
         let exchanges = limit.saturating_sub(reserve + administration + callers);
         DescriptorPlan { limit, callers, exchanges, administration, reserve }
     }
@@ -45,7 +48,7 @@
     use super::*;
 
     #[test]
-    fn the_parts_never_exceed_the_limit_and_callers_get_their_third() {
+    fn the_shares_never_exceed_the_limit_and_callers_get_a_third() {
         for limit in MIN_DESCRIPTORS..5000 {
             for administration in [false, true] {
                 let plan = DescriptorPlan::new(limit, administration);
--- a/src/limits/memory.rs
+++ b/src/limits/memory.rs
@@ -1,53 +1,54 @@
-//! The limit on memory, parted among what grows with traffic, and who is cut first when a part is used up.
+//! Division of the memory limit among the data that grow with traffic, and what is dropped when a share is used up.
 
 use std::collections::VecDeque;
 
 use crate::sip::message::Message;
 
-/// What the program needs before the first call, in bytes.
-const BASE: usize = 12 * 1024 * 1024;
-/// Where the deployment names no limit.
+/// Memory of the program before the first call, in bytes.
+const BASE_BYTES: usize = 12 * 1024 * 1024;
+/// Memory limit in MB if the deployment sets none.
 pub const DEFAULT_LIMIT_MB: usize = 1024;
 
-/// How many bytes each part may hold.
+/// Number of bytes for each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryPlan {
-    /// Records of calls, with what their callers describe.
+    /// Records of calls, with the session descriptions of their callers.
     pub calls: usize,
-    /// Messages that wait to be written, over all connections.
+    /// Messages that wait to be written, on all connections together.
     pub queues: usize,
-    /// Releases that wait for a connection from a caller.
+    /// Releases that wait until a caller connects.
     pub releases: usize,
 }
 
 impl MemoryPlan {
-    /// Parts a limit in MB: what is left beside the program itself, with a quarter of it kept free.
+    /// Divides a limit in MB. The memory of the program itself is deducted, and at least a quarter of the rest is
+    /// kept free.
     pub fn new(limit_mb: usize) -> Self {
-        let free = (limit_mb * 1024 * 1024).saturating_sub(BASE).max(4 * 1024 * 1024);
+        let free = (limit_mb * 1024 * 1024).saturating_sub(BASE_BYTES).max(4 * 1024 * 1024);
         MemoryPlan { calls: free / 4, queues: free / 4, releases: free / 16 }
     }
 }
 
-/// One connection with messages that wait.
+/// The messages that wait to be written on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutboundQueue {
-    /// Its number.
+    /// The number of the connection.
     pub connection: u64,
-    /// Bytes that wait for its reader.
+    /// Bytes that wait to be written.
     pub bytes: usize,
-    /// It has brought a call.
+    /// The peer has proven useful: a caller by its first call, an exchange by accepting the connection.
     pub proven: bool,
 }
 
-/// The connection to cut when queues hold more than their part: one that never asked for a call, else the one whose
-/// reader is furthest behind. Calls that stand are not lost by it: they may be told elsewhere.
+/// Selects the connection to close when the queues together exceed their share: an unproven one first, then the one
+/// with the most bytes waiting. Established calls survive this, as their messages may be sent on another connection.
 pub fn connection_to_cut(queues: impl Iterator<Item = OutboundQueue>) -> Option<u64> {
-    let behind = queues.filter(|queue| queue.bytes > 0);
-    behind.max_by_key(|queue| (!queue.proven, queue.bytes)).map(|queue| queue.connection)
+    let nonempty = queues.filter(|queue| queue.bytes > 0);
+    nonempty.max_by_key(|queue| (!queue.proven, queue.bytes)).map(|queue| queue.connection)
 }
 
-/// Releases that wait for a connection from a caller, within their part. At the bound the oldest goes: its caller has
-/// been away the longest.
+/// Releases that wait until a caller connects, limited in bytes. When the limit is exceeded, the oldest are dropped:
+/// their callers have been disconnected the longest.
 #[derive(Debug)]
 pub struct WaitingReleases {
     limit: usize,
@@ -56,36 +57,36 @@
 }
 
 impl WaitingReleases {
-    /// None yet, with so many bytes for all.
+    /// Creates an empty queue of at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         WaitingReleases { limit, bytes: 0, waiting: VecDeque::new() }
     }
 
-    /// What a message takes while it waits.
-    fn weight(message: &Message) -> usize {
+    /// Approximate number of bytes that a waiting message occupies.
+    fn byte_size(message: &Message) -> usize {
         let headers: usize = message.headers.iter().map(|(name, value)| name.len() + value.len() + 48).sum();
         headers + message.body.len() + size_of::<Message>()
     }
 
-    /// One more; returns how many went for it.
+    /// Adds a release, and returns how many releases were dropped to make room.
     pub fn push(&mut self, release: Message) -> usize {
-        self.bytes += Self::weight(&release);
+        self.bytes += Self::byte_size(&release);
         self.waiting.push_back(release);
         let before = self.waiting.len();
         while self.bytes > self.limit {
             let Some(oldest) = self.waiting.pop_front() else { break };
-            self.bytes -= Self::weight(&oldest);
+            self.bytes -= Self::byte_size(&oldest);
         }
         before - self.waiting.len()
     }
 
-    /// All of them, oldest first.
+    /// Removes and returns all releases, oldest first.
     pub fn take_all(&mut self) -> VecDeque<Message> {
         self.bytes = 0;
         std::mem::take(&mut self.waiting)
     }
 
-    /// Bytes that they take.
+    /// Bytes that the waiting releases occupy.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -96,17 +97,19 @@
     use super::*;
 
     #[test]
-    fn the_parts_leave_room_at_every_limit() {
+    fn the_shares_leave_a_quarter_free_at_every_limit() {
         for limit_mb in [16, 32, 48, 192, 4096] {
             let plan = MemoryPlan::new(limit_mb);
             let parts = plan.calls + plan.queues + plan.releases;
-            assert!(parts <= (limit_mb * 1024 * 1024).saturating_sub(BASE).max(4 * 1024 * 1024) * 3 / 4);
+            assert!(
+                parts <= (limit_mb * 1024 * 1024).saturating_sub(BASE_BYTES).max(4 * 1024 * 1024) * 3 / 4
+            );
             assert!(plan.calls >= 1024 * 1024);
         }
     }
 
     #[test]
-    fn whoever_asked_for_nothing_is_cut_before_a_slow_reader_with_calls() {
+    fn an_unproven_connection_is_closed_before_a_slow_reader_with_calls() {
         let queue = |connection, bytes, proven| OutboundQueue { connection, bytes, proven };
         assert_eq!(
             connection_to_cut([queue(1, 0, false), queue(2, 9, true), queue(3, 99, true)].into_iter()),
@@ -117,13 +120,13 @@
     }
 
     #[test]
-    fn the_oldest_release_goes_when_they_take_too_much() {
+    fn the_oldest_releases_are_dropped_over_the_limit() {
         let release = |n: usize| Message::request("BYE", "sip:x@net").with("Call-ID", n);
-        let mut waiting = WaitingReleases::new(10 * WaitingReleases::weight(&release(0)));
-        let gone: usize = (0..25).map(|n| waiting.push(release(n))).sum();
-        assert!(gone >= 15, "{gone}");
+        let mut waiting = WaitingReleases::new(10 * WaitingReleases::byte_size(&release(0)));
+        let dropped: usize = (0..25).map(|n| waiting.push(release(n))).sum();
+        assert!(dropped >= 15, "{dropped}");
         let kept = waiting.take_all();
-        assert_eq!(kept.len(), 25 - gone);
+        assert_eq!(kept.len(), 25 - dropped);
         assert_eq!(kept.back().and_then(|m| m.get("Call-ID")), Some("24"), "the newest stays");
         assert_eq!(waiting.bytes(), 0);
     }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,5 +1,5 @@
-//! Resource budgets: how the deployment's limits on descriptors and memory are parted, and what gives way when a part
-//! is used up. No I/O: the limits come in as values, and what is decided goes out as values.
+//! Resource budgets: how the deployment's limits on descriptors and memory are divided, and what is closed or dropped
+//! when a share is used up. No I/O: limits and decisions are plain values.
 
 pub mod connections;
 pub mod descriptors;
--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -2,9 +2,9 @@
 //!
 //! A machine that vanishes closes no connection, and discovery may be unavailable, so neither reliably reports the
 //! failure. The detector relies on proof of life instead: each message on a connection proves that the process at the
-//! other end was alive, and renews the lease of the calls that this process holds. Before a lease expires, the detector
-//! asks for a new connection: a live process sends its state on it, and repeats releases that were lost. When a lease
-//! expires, its calls are released.
+//! other end was alive, and renews the lease of the calls that this process holds. Before a lease expires, the
+//! detector asks for a new connection: a live process sends its state on it, and repeats releases that were lost.
+//! When a lease expires, its calls are released.
 //!
 //! A new connection proves that a process listens at the address, but not that this process holds the calls: it may
 //! have replaced the process that did. The detector assigns two connections to the same process only on evidence:
@@ -13,8 +13,8 @@
 //! - the state received on the newer connection counts at least as many circuits in use as the calls of this proxy hold
 //!   at the exchange. A process that has just started counts none.
 //!
-//! The timing follows from a rule of the platform's protocol: when a call has ended and its release could not be sent,
-//! the call is released to its caller within 8 s of its end.
+//! The timing follows from a rule of the platform's protocol: when a call has ended and its release could not be
+//! sent, the call is released to its caller within 8 s of its end.
 //!
 //! No I/O, and time is a parameter.
 
@@ -37,8 +37,8 @@
     /// Time within which a release has to follow the state that no longer counts its call. After that the release
     /// counts as lost.
     pub release_lag: Secs,
-    /// A newer connection is assigned to the process of an older one if the older one delivers a message at least this
-    /// long after the newer one was opened.
+    /// A newer connection is assigned to the process of an older one if the older one delivers a message at least
+    /// this long after the newer one was opened.
     pub overlap: Secs,
 }
 
@@ -80,8 +80,8 @@
     },
 }
 
-/// Number of a process at the exchange's address. Each connection starts with a number of its own; connections share a
-/// number once there is evidence that they lead to the same process.
+/// Number of a process at the exchange's address. Each connection starts with a number of its own; connections share
+/// a number once there is evidence that they lead to the same process.
 type Process = u64;
 
 #[derive(Debug)]
--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -1,3 +1,3 @@
-//! How a proxy ends and begins. No I/O.
+//! Orderly shutdown of a proxy. No I/O.
 
 pub mod shutdown;
--- a/src/recovery/shutdown.rs
+++ b/src/recovery/shutdown.rs
@@ -1,56 +1,60 @@
-//! What a proxy that was told to end still owes, and when it may end. No I/O, and time is a parameter.
+//! Phases of a shutdown: which requests the proxy still serves after SIGTERM, and when it may exit. No I/O, and time
+//! is a parameter.
 //!
-//! The figures are those of the platform's protocol page, 'Figures': SIGKILL comes no earlier than the longest deadline
-//! of the deployment (counted as 3 s at most) and 0.7 s after SIGTERM; callers go on sending on open connections until
-//! then. A connection that carries calls may stay until their ends are told; new set-ups are refused, and it is closed
-//! when nothing is left on it.
+//! The platform's protocol gives the times. SIGKILL follows SIGTERM no earlier than after 0.7 s plus the longest
+//! deadline of the deployment, which counts as 3 s at most. Until then callers continue to send on open connections.
+//! A connection with calls may stay open until their releases are sent; new set-ups on it are refused, and it is
+//! closed when no call is left on it.
 
 use crate::interface::{Secs, Time};
 
-/// Set-ups that come so long after SIGTERM are still served.
-const SERVE: Secs = 0.7;
-/// The longest deadline that the platform waits for.
+/// Time after SIGTERM during which new set-ups are still served.
+const SERVING_PERIOD: Secs = 0.7;
+/// Upper bound of the deadline that the platform waits for before SIGKILL.
 const LONGEST_DEADLINE: Secs = 3.0;
-/// Set-ups that are still open so long before the earliest SIGKILL are refused.
-const CONCLUDE_BEFORE_KILL: Secs = 0.15;
-/// The proxy does not end earlier: callers that were about to connect find it.
-const LINGER: Secs = 1.0;
-/// From the end of the last connection until the proxy ends: a set-up that crossed its close comes again.
-const CROSSING: Secs = 0.2;
+/// Open set-ups are refused this long before the earliest SIGKILL, so that their callers get a final answer.
+const REFUSE_BEFORE_KILL: Secs = 0.15;
+/// Minimum time from SIGTERM to the exit: callers that are about to connect still reach the proxy.
+const MIN_SHUTDOWN: Secs = 1.0;
+/// Minimum time from the close of the last connection to the exit: a caller whose set-up crossed the close sends it
+/// again on a new connection.
+const RECONNECT_PERIOD: Secs = 0.2;
 
-/// A shutdown under way.
+/// A shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    began: Time,
-    /// The longest deadline of the deployment, as the platform counts it.
-    longest: Secs,
+    started: Time,
+    /// The longest deadline of the deployment, limited to the upper bound of the platform.
+    max_deadline: Secs,
 }
 
 impl Shutdown {
-    /// SIGTERM came, in a deployment where no caller waits longer than this.
+    /// Starts a shutdown on SIGTERM. No caller of the deployment waits longer than `longest_deadline`.
     pub fn begin(now: Time, longest_deadline: Secs) -> Self {
-        Shutdown { began: now, longest: longest_deadline.clamp(0.0, LONGEST_DEADLINE) }
+        Shutdown { started: now, max_deadline: longest_deadline.clamp(0.0, LONGEST_DEADLINE) }
     }
 
-    /// New set-ups are served; later ones are refused at once.
+    /// Whether new set-ups are still served. Later ones are refused at once.
     pub fn accepts_set_ups(&self, now: Time) -> bool {
-        now - self.began < SERVE
+        now - self.started < SERVING_PERIOD
     }
 
-    /// Whatever is still open has to get its final answer now.
+    /// Whether all open set-ups have to be refused now, as their final answer.
     pub fn must_refuse_open(&self, now: Time) -> bool {
-        now - self.began >= SERVE + self.longest - CONCLUDE_BEFORE_KILL
+        now - self.started >= SERVING_PERIOD + self.max_deadline - REFUSE_BEFORE_KILL
     }
 
-    /// A connection may be closed on which so many set-ups are open and calls stand. Just before the earliest SIGKILL
-    /// those with standing calls go as well: what came on them then could not be answered.
-    pub fn may_close_connection(&self, now: Time, open: usize, standing: usize) -> bool {
-        !self.accepts_set_ups(now) && open == 0 && (standing == 0 || self.must_refuse_open(now))
+    /// Whether a connection with this number of open set-ups and established calls may be closed. Just before the
+    /// earliest SIGKILL, connections with established calls may be closed as well: requests that arrived on them
+    /// later could not be answered.
+    pub fn may_close_connection(&self, now: Time, open: usize, established: usize) -> bool {
+        !self.accepts_set_ups(now) && open == 0 && (established == 0 || self.must_refuse_open(now))
     }
 
-    /// The proxy may stop to accept and end, as there has been no connection since a time.
+    /// Whether the proxy may stop accepting connections and exit, if it has had no connection since
+    /// `unconnected_since`.
     pub fn may_exit(&self, now: Time, unconnected_since: Time) -> bool {
-        now - self.began >= LINGER && now - unconnected_since >= CROSSING
+        now - self.started >= MIN_SHUTDOWN && now - unconnected_since >= RECONNECT_PERIOD
     }
 }
 
@@ -59,7 +63,7 @@
     use super::*;
 
     #[test]
-    fn set_ups_are_served_then_refused_then_concluded_before_the_earliest_kill() {
+    fn set_ups_are_served_then_refused_and_open_ones_are_refused_before_the_earliest_kill() {
         let shutdown = Shutdown::begin(Time(10.0), 9.0);
         assert!(shutdown.accepts_set_ups(Time(10.69)) && !shutdown.accepts_set_ups(Time(10.71)));
         assert!(!shutdown.must_refuse_open(Time(13.5)) && shutdown.must_refuse_open(Time(13.56)));
@@ -80,7 +84,7 @@
     }
 
     #[test]
-    fn the_proxy_ends_once_no_connection_has_been_there_for_a_while() {
+    fn the_proxy_exits_after_a_period_without_connections() {
         let shutdown = Shutdown::begin(Time(10.0), 3.0);
         assert!(!shutdown.may_exit(Time(10.9), Time(10.0)), "callers may be about to connect");
         assert!(!shutdown.may_exit(Time(12.1), Time(12.0)), "a set-up may have crossed the close");
--- a/tests/connection_budget.rs
+++ b/tests/connection_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of connections to exchanges, on a scripted clock.
+//! Tests of the budget of connections to exchanges, on a scripted clock.
 
 use mallowring::interface::{ExchangeId, Time};
 use mallowring::limits::connections::{Allocation, ConnectionBudget, Purpose};
@@ -11,31 +11,35 @@
 
 #[test]
 fn connections_fall_from_three_to_one_as_exchanges_grow() {
-    let best: Vec<usize> = [1, 10, 40, 60, 100, 300].map(|n| budget(140, n).target_per_exchange()).into();
-    assert_eq!(best, [3, 3, 3, 2, 1, 1]);
+    let targets: Vec<usize> = [1, 10, 40, 60, 100, 300].map(|n| budget(140, n).target_per_exchange()).into();
+    assert_eq!(targets, [3, 3, 3, 2, 1, 1]);
     assert!(budget(140, 100).fits_one_each() && !budget(140, 300).fits_one_each());
 }
 
 #[test]
-fn an_idle_exchange_gives_way_to_one_in_need_and_a_busy_one_does_not() {
+fn an_idle_exchange_closes_a_connection_for_one_in_need_and_a_busy_one_does_not() {
     let mut budget = budget(4, 6);
     for id in 0..3 {
         assert_eq!(budget.request(ExchangeId(id), Purpose::Idle), Allocation::Granted);
     }
-    assert_eq!(budget.request(ExchangeId(3), Purpose::Idle), Allocation::Denied, "one is kept in reserve");
+    assert_eq!(
+        budget.request(ExchangeId(3), Purpose::Idle),
+        Allocation::Denied,
+        "one connection is kept spare"
+    );
     budget.set_busy(Time(10.0), ExchangeId(0), true);
     budget.set_busy(Time(11.0), ExchangeId(1), false);
     assert_eq!(
         budget.request(ExchangeId(3), Purpose::Needed),
         Allocation::Granted,
-        "the reserve is for this"
+        "the spare connection is for this purpose"
     );
-    // 2 has never been used; 0 is in use.
+    // Exchange 2 has never been busy; exchange 0 is busy.
     assert_eq!(budget.request(ExchangeId(4), Purpose::Needed), Allocation::AfterClosing(ExchangeId(2)));
     assert_eq!(
         budget.request(ExchangeId(5), Purpose::Verify),
         Allocation::AfterClosing(ExchangeId(3)),
-        "one is not asked twice"
+        "no exchange is asked twice"
     );
     budget.connection_closed(ExchangeId(2));
     assert_eq!(budget.request(ExchangeId(4), Purpose::Needed), Allocation::Granted);
@@ -43,12 +47,16 @@
 }
 
 #[test]
-fn whoever_holds_more_than_one_gives_way_first() {
+fn an_exchange_with_several_connections_closes_one_first() {
     let mut budget = budget(8, 2);
     for _ in 0..3 {
         assert_eq!(budget.request(ExchangeId(0), Purpose::Another), Allocation::Granted);
     }
-    assert_eq!(budget.request(ExchangeId(0), Purpose::Another), Allocation::Denied, "three at best");
+    assert_eq!(
+        budget.request(ExchangeId(0), Purpose::Another),
+        Allocation::Denied,
+        "three connections at most"
+    );
     (2..8).for_each(|id| budget.add_exchange(Time(0.0), ExchangeId(id)));
     for id in 1..5 {
         assert_eq!(budget.request(ExchangeId(id), Purpose::Idle), Allocation::Granted);
@@ -56,10 +64,10 @@
     assert_eq!(
         budget.request(ExchangeId(5), Purpose::Idle),
         Allocation::AfterClosing(ExchangeId(0)),
-        "the fleet has grown"
+        "with more exchanges, each gets fewer"
     );
     budget.remove_exchange(ExchangeId(0));
     assert_eq!(budget.allocated(), 4);
     budget.connection_closed(ExchangeId(0));
-    assert_eq!(budget.allocated(), 4, "what is gone is counted off once");
+    assert_eq!(budget.allocated(), 4, "a removed exchange is subtracted only once");
 }
--- a/tests/liveness.rs
+++ b/tests/liveness.rs
@@ -218,8 +218,9 @@
     assert_eq!(bench.detector.next_check(Time(bench.now)), None);
 }
 
-/// Guards against calls that are never released because their release was lost: the exchange is alive, so its lease is
-/// always renewed. In the soak (seed 16), an exchange that had been cut off sent releases on a connection that was gone.
+/// Guards against calls that are never released because their release was lost: the exchange is alive, so its lease
+/// is always renewed. In the soak (seed 16), an exchange that had been cut off sent releases on a connection that was
+/// gone.
 #[test]
 fn a_live_exchange_that_counts_fewer_circuits_is_verified_and_then_its_calls_are_released() {
     let mut bench = Bench::new();
@@ -241,8 +242,8 @@
     assert!((7.0..8.0).contains(&(ends[0].0 - matched)), "{}", ends[0].0 - matched);
 }
 
-/// A release that soon follows its state is not lost. If no state has ever counted our calls, a state without them does
-/// not show a lost release either.
+/// A release that soon follows its state is not lost. If no state has ever counted our calls, a state without them
+/// does not show a lost release either.
 #[test]
 fn a_release_in_time_is_not_lost_and_a_state_shows_lost_releases_only_after_it_counted_our_calls() {
     let mut bench = Bench::new();
