--- a/src/calls/tenants.rs
+++ b/src/calls/tenants.rs
@@ -1,5 +1,5 @@
-//! The one store of what can be configured while the program runs: its tenants. The fronts obey it through the
-//! call table; the administration's interfaces change it.
+//! Store of the tenants, the only configuration that can change while the program runs. The call table applies it to
+//! the requests of all fronts; the administration interfaces change it.
 
 use std::collections::BTreeMap;
 
@@ -10,78 +10,78 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as calls bear it.
+    /// Its name, as requests for calls give it.
     pub name: String,
-    /// Its calls are turned down.
+    /// Whether its requests are rejected.
     #[serde(default)]
     pub suspended: bool,
-    /// The most calls it may have at a time, waiting or standing; more are refused.
+    /// Maximum number of its calls at a time, waiting or established. Requests beyond it are refused.
     #[serde(default)]
     pub max_calls: Option<u32>,
 }
 
-/// What became of a tenant's calls since the start.
+/// Counters of a tenant's calls since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Calls at present, waiting or standing.
+    /// Present number of calls, waiting or established.
     pub present: u32,
-    /// Requests taken.
+    /// Requests that were accepted for a decision.
     pub taken: u64,
-    /// Calls that stood.
+    /// Calls that were established.
     pub stood: u64,
-    /// Requests refused: trying again is harmless.
+    /// Requests that were refused, so that the caller may try again.
     pub refused: u64,
-    /// Requests that failed.
+    /// Requests that failed for good.
     pub failed: u64,
     /// Requests that their callers gave up.
     pub given_up: u64,
-    /// Requests turned down, as of a suspended tenant or an unknown class.
+    /// Requests that were rejected as invalid, for example for a suspended tenant or an unknown class.
     pub rejected: u64,
 }
 
-/// One change of the store.
+/// A change of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// A tenant that is not there yet.
+    /// Adds a tenant that does not exist yet.
     Create(Tenant),
-    /// Another value for one that is; `None` leaves as it is.
+    /// Sets values of an existing tenant; `None` leaves a value unchanged.
     Set {
-        /// Which.
+        /// The name of the tenant.
         name: String,
         /// Whether it is suspended.
         suspended: Option<bool>,
-        /// Its limit; `Some(None)` takes it away.
+        /// Its limit on calls; `Some(None)` removes the limit.
         max_calls: Option<Option<u32>>,
     },
-    /// A tenant that is to go. Calls that stand go on.
+    /// Deletes a tenant. Its established calls continue.
     Delete(String),
 }
 
-/// Why a change is not made.
+/// Reason for which a change is not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It is there already.
+    /// The tenant exists already.
     #[error("tenant '{0}' exists already")]
     Exists(String),
-    /// It is not there.
+    /// The tenant does not exist.
     #[error("there is no tenant '{0}'")]
     Missing(String),
-    /// A value makes no sense.
+    /// A value is invalid.
     #[error("{0}")]
     Invalid(&'static str),
 }
 
-/// All tenants.
+/// All tenants with their counters.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
-    held: BTreeMap<String, (Tenant, Counts)>,
-    /// No tenant was ever named: every name will do.
-    open: bool,
+    by_name: BTreeMap<String, (Tenant, Counts)>,
+    /// No tenant was ever configured: requests of any tenant are accepted.
+    accepts_any: bool,
 }
 
-fn check(tenant: &Tenant) -> Result<(), ChangeError> {
-    let visible = |b: u8| b.is_ascii_graphic() && !b"/?#%<>&\"'".contains(&b);
-    if tenant.name.is_empty() || tenant.name.len() > 64 || !tenant.name.bytes().all(visible) {
+fn validate(tenant: &Tenant) -> Result<(), ChangeError> {
+    let allowed = |b: u8| b.is_ascii_graphic() && !b"/?#%<>&\"'".contains(&b);
+    if tenant.name.is_empty() || tenant.name.len() > 64 || !tenant.name.bytes().all(allowed) {
         return Err(ChangeError::Invalid("a name has 1 to 64 visible characters, none of /?#%<>&\"'"));
     }
     if tenant.max_calls == Some(0) {
@@ -91,64 +91,65 @@
 }
 
 impl Tenants {
-    /// The tenants of the start. Without any, every name will do until one is created.
+    /// Creates the store with the configured tenants. If there are none, requests of any tenant are accepted until a
+    /// tenant is created.
     pub fn new(tenants: impl IntoIterator<Item = Tenant>) -> Self {
-        let held: BTreeMap<_, _> =
+        let by_name: BTreeMap<_, _> =
             tenants.into_iter().map(|t| (t.name.clone(), (t, Counts::default()))).collect();
-        Tenants { open: held.is_empty(), held }
+        Tenants { accepts_any: by_name.is_empty(), by_name }
     }
 
-    /// All tenants with their counts, by name.
+    /// Returns all tenants with their counters, ordered by name.
     pub fn list(&self) -> Vec<(Tenant, Counts)> {
-        self.held.values().cloned().collect()
+        self.by_name.values().cloned().collect()
     }
 
-    /// Makes all of the changes, or none.
+    /// Applies all of the changes, or none.
     pub fn apply(&mut self, changes: &[Change]) -> Result<(), ChangeError> {
-        let mut held = self.held.clone();
+        let mut by_name = self.by_name.clone();
         for change in changes {
             match change {
                 Change::Create(tenant) => {
-                    check(tenant)?;
-                    if held.contains_key(&tenant.name) {
+                    validate(tenant)?;
+                    if by_name.contains_key(&tenant.name) {
                         return Err(ChangeError::Exists(tenant.name.clone()));
                     }
-                    held.insert(tenant.name.clone(), (tenant.clone(), Counts::default()));
+                    by_name.insert(tenant.name.clone(), (tenant.clone(), Counts::default()));
                 }
                 Change::Set { name, suspended, max_calls } => {
-                    let Some((tenant, _)) = held.get_mut(name) else {
+                    let Some((tenant, _)) = by_name.get_mut(name) else {
                         return Err(ChangeError::Missing(name.clone()));
                     };
                     tenant.suspended = suspended.unwrap_or(tenant.suspended);
                     tenant.max_calls = max_calls.unwrap_or(tenant.max_calls);
-                    check(tenant)?;
+                    validate(tenant)?;
                 }
                 Change::Delete(name) => {
-                    held.remove(name).ok_or_else(|| ChangeError::Missing(name.clone()))?;
+                    by_name.remove(name).ok_or_else(|| ChangeError::Missing(name.clone()))?;
                 }
             }
         }
-        self.open &= changes.is_empty();
-        self.held = held;
+        self.accepts_any &= changes.is_empty();
+        self.by_name = by_name;
         Ok(())
     }
 
-    /// Whether calls of this tenant are taken at all. One that names none is the platform's own.
+    /// Whether requests of this tenant are accepted. A request without a tenant comes from the platform itself.
     pub(super) fn admits(&self, name: Option<&String>) -> bool {
-        let known = |name: &String| self.held.get(name).map_or(self.open, |(t, _)| !t.suspended);
-        name.is_none_or(known)
+        let accepted = |name: &String| self.by_name.get(name).map_or(self.accepts_any, |(t, _)| !t.suspended);
+        name.is_none_or(accepted)
     }
 
-    /// Whether it has as many calls as it may.
+    /// Whether a tenant has reached its limit on calls.
     pub(super) fn is_full(&self, name: Option<&String>) -> bool {
-        let held = name.and_then(|name| self.held.get(name));
-        held.is_some_and(|(t, counts)| t.max_calls.is_some_and(|most| counts.present >= most))
+        let tenant = name.and_then(|name| self.by_name.get(name));
+        tenant.is_some_and(|(t, counts)| t.max_calls.is_some_and(|limit| counts.present >= limit))
     }
 
-    /// Counts something.
-    pub(super) fn count(&mut self, name: Option<&String>, count: impl FnOnce(&mut Counts)) {
-        if let Some((_, counts)) = name.and_then(|name| self.held.get_mut(name)) {
-            count(counts);
+    /// Updates the counters of a tenant.
+    pub(super) fn count(&mut self, name: Option<&String>, update: impl FnOnce(&mut Counts)) {
+        if let Some((_, counts)) = name.and_then(|name| self.by_name.get_mut(name)) {
+            update(counts);
         }
     }
 }
