--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,8 +1,9 @@
-//! The core: calls as requests, attempts and outcomes. It knows no wire, no socket and no clock.
+//! Call handling, independent of protocols, sockets and clocks: requests, attempts and their outcomes.
 //!
-//! A [`Table`] takes [`CallEvent`]s from the fronts, the exchanges' adapters, the list and the clock, lets the
-//! decision module decide and turns its actions into [`CallEffect`]s. The rules are guarded here once for all
-//! fronts: one final answer, one attempt at a time, the pause after a time-out, reset or cancel, drains.
+//! A [`Table`] handles [`CallEvent`]s from the fronts, the connections to exchanges, discovery and the timers. It
+//! passes them to the decision module and turns the resulting actions into [`CallEffect`]s. It enforces the protocol
+//! rules for all fronts: one final answer per request, one attempt at a time, a pause after a time-out, reset or
+//! cancel, and no new set-ups to a draining exchange.
 
 mod table;
 pub mod tenants;
@@ -15,54 +16,55 @@
 
 use crate::interface::*;
 
-/// Which front a call came in by.
+/// The protocol front end on which a call arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Front {
     /// The platform's protocol.
     Platform,
-    /// SIP with transactions and dialogs.
+    /// SIP, with transactions and dialogs.
     Sip,
 }
 
-/// A call that a caller asks for.
+/// A caller's request for a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Its id, never used twice.
+    /// The id of the call, which is never reused.
     pub id: CallId,
-    /// Where the answer goes.
+    /// The front that sends the answer to the caller.
     pub front: Front,
-    /// The class by name.
+    /// The name of the class.
     pub class: String,
-    /// The tenant by name, where the caller gave one.
+    /// The name of the tenant, if the caller gave one.
     pub tenant: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for a final answer.
     pub ttl: Secs,
-    /// It comes from another proxy and goes on to its destination or back.
+    /// Whether it is a transit call: another proxy sent it, and this one forwards it to its destination or turns it
+    /// back.
     pub transit: bool,
-    /// The advised tandem; in transit, the exchange of origin.
+    /// The tandem that the centre advises; for a transit call, the exchange of origin.
     pub hop: Option<ExchangeNumber>,
-    /// It was cut and comes again.
+    /// Whether the call was cut and is now set up again.
     pub re_established: bool,
-    /// It is marked as the caller's retry.
+    /// Whether the caller marked it as a redial.
     pub redial: bool,
-    /// The circuits it takes.
+    /// Number of circuits that it takes.
     pub width: u32,
-    /// The destination.
+    /// The number of the destination exchange.
     pub dest: ExchangeNumber,
-    /// The number called.
+    /// The dialled number.
     pub number: String,
-    /// What the caller describes; passed on as it is.
+    /// The session description of the caller, passed on unchanged.
     pub description: Arc<[u8]>,
 }
 
-/// What the core is told.
+/// An event that the call table handles.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallEvent {
-    /// A caller asks for a call.
+    /// A caller requests a call.
     Request(Request),
-    /// The caller has stopped waiting.
+    /// The caller has stopped waiting for an answer.
     CallerGaveUp(CallId),
-    /// The caller ends a call that stands.
+    /// The caller has released an established call.
     CallerReleased(CallId),
     /// An exchange has answered a set-up.
     Answered {
@@ -70,146 +72,146 @@
         id: CallId,
         /// The exchange.
         exchange: ExchangeId,
-        /// The attempt, where the wire tells it.
+        /// The attempt, if the protocol identifies it.
         leg: Option<u32>,
-        /// What the exchange describes; passed on as it is.
+        /// The session description of the exchange, passed on unchanged.
         description: Arc<[u8]>,
     },
-    /// A set-up has ended without an answer.
+    /// A set-up has ended without being answered.
     SetUpFailed {
         /// The call.
         id: CallId,
         /// The exchange.
         exchange: ExchangeId,
-        /// The attempt, where the wire tells it.
+        /// The attempt, if the protocol identifies it.
         leg: Option<u32>,
         /// How it ended.
         outcome: Outcome,
-        /// Why.
+        /// The cause that was given.
         cause: Cause,
-        /// The report that came along.
+        /// The load report that came with the message.
         report: LoadReport,
     },
-    /// An exchange has ended a call that stands.
+    /// An exchange has released an established call.
     ExchangeReleased {
         /// The call.
         id: CallId,
         /// The exchange.
         exchange: ExchangeId,
-        /// It came to its end; else it was cut.
+        /// Whether the call was completed; otherwise it was cut.
         completed: bool,
-        /// The report that came along.
+        /// The load report that came with the message.
         report: LoadReport,
     },
-    /// The state of a trunk group.
+    /// The state of a trunk group has arrived.
     Status {
-        /// The exchange at its other end.
+        /// The exchange at the other end of the trunk group.
         exchange: ExchangeId,
-        /// What it says.
+        /// The state.
         report: LoadReport,
     },
-    /// The process of an exchange has died: whatever stood there is cut.
+    /// The process of an exchange has died: its attempts and established calls are cut.
     ExchangeDown(ExchangeId),
-    /// News of the exchanges.
+    /// The roster, or changes of it, have arrived.
     Roster {
-        /// The whole list, or changes.
+        /// Whether the entries are the full roster; otherwise they are changes.
         full: bool,
-        /// Its lines.
+        /// The entries.
         entries: Vec<RosterEntry>,
     },
-    /// A timer asked for by [`CallEffect::StartTimer`].
+    /// A timer that [`CallEffect::StartTimer`] started has expired.
     TimerExpired(CallTimer),
-    /// The state of a trunk group is not told any longer.
+    /// The state of the trunk group to an exchange is no longer received.
     StatusLost(ExchangeId),
 }
 
 /// What a timer is for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallTimer {
-    /// An attempt has run its time.
+    /// The time limit of an attempt, given by its number.
     AttemptTimeout(CallId, u32),
-    /// The last moment for a final answer.
+    /// The latest time for the final answer.
     Deadline(CallId),
-    /// The module asked for it.
+    /// A timer of the decision module.
     Controller(TimerToken),
 }
 
-/// Why a request is turned down without the module being asked.
+/// Why a request is rejected without a decision of the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// No class of that name.
+    /// There is no class of that name.
     UnknownClass,
-    /// No tenant of that name, or a suspended one.
+    /// There is no tenant of that name, or it is suspended.
     UnknownTenant,
-    /// No exchange of that number was ever listed.
+    /// No exchange of that number has ever been on the roster.
     UnknownDestination,
-    /// A figure is out of its range: the time to wait, the width or the advised exchange.
+    /// A value is out of range: the time that the caller waits, the width, or the tandem or exchange of origin.
     OutOfRange,
 }
 
-/// What a caller is told.
+/// A message to a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallerCommand {
-    /// The call stands.
+    /// The call is established. Contains the session description of the exchange.
     Answer(Arc<[u8]>),
-    /// Turned away; trying again is harmless, after the time given.
+    /// The request is refused. The caller may try again, after the cool-down if one is given.
     Refuse(Option<Secs>),
-    /// Failed for good.
+    /// The request has failed for good.
     Fail,
-    /// Turned down as it makes no sense here.
+    /// The request is invalid.
     Reject(RejectReason),
-    /// A call that stood is over: at its end, or cut.
+    /// An established call has ended.
     Release {
-        /// It came to its end.
+        /// Whether the call was completed; otherwise it was cut.
         completed: bool,
     },
 }
 
-/// What an exchange is told.
+/// A message to an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ExchangeCommand {
-    /// Set a call up.
+    /// Sets a call up.
     SetUp(SetUp),
-    /// Stop the set-up.
+    /// Cancels a set-up.
     CancelSetUp {
         /// The attempt.
         leg: u32,
     },
-    /// End the call.
+    /// Releases a call.
     Release {
-        /// The attempt, where it is known.
+        /// The attempt, if it is known.
         leg: Option<u32>,
     },
 }
 
-/// One attempt.
+/// An attempt to set a call up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SetUp {
-    /// Its number, from 0.
+    /// The number of the attempt, from 0.
     pub leg: u32,
-    /// The class by name.
+    /// The name of the class.
     pub class: String,
-    /// The number called.
+    /// The dialled number.
     pub number: String,
-    /// The circuits it takes.
+    /// Number of circuits that it takes.
     pub width: u32,
-    /// It goes straight to its destination, and so stands in the line of that exchange alone.
+    /// Whether the set-up goes directly to its destination, and so waits in the queue of that exchange only.
     pub direct: bool,
-    /// What the caller describes.
+    /// The session description of the caller.
     pub description: Arc<[u8]>,
-    /// When it is given up.
+    /// The time at which the attempt is given up.
     pub abandon_at: Time,
 }
 
-/// What the core wants done.
+/// An effect that the owner of the call table carries out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallEffect {
-    /// Tell a caller.
+    /// Sends a message to a caller.
     Caller(Front, CallId, CallerCommand),
-    /// Tell an exchange.
+    /// Sends a message to an exchange.
     Exchange(ExchangeId, CallId, ExchangeCommand),
-    /// Wake the core.
+    /// Starts a timer that expires at this time.
     StartTimer(Time, CallTimer),
-    /// A line for the log.
+    /// Writes a line to the log.
     Log(String),
 }
--- a/src/calls/table.rs
+++ b/src/calls/table.rs
@@ -1,4 +1,4 @@
-//! The call table: every call from its request to its release, and the guards of the rules.
+//! Call table: the state of every call from its request to its release, and the enforcement of the protocol rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,21 +11,22 @@
 use crate::logic::Controller;
 use crate::telemetry;
 
-/// A final answer leaves this long before the caller stops waiting, so that it is whole in time.
+/// Seconds before the end of the caller's wait at which a final answer is sent at the latest, so that it arrives
+/// whole in time.
 pub const MARGIN: Secs = 0.02;
 
-/// What the record of a call takes beside its description, in all places that hold one: the table, the module, the
-/// front, the exchange's actor and the timers.
+/// Approximate memory in bytes of a call without its description, in all places that keep a record of it: the call
+/// table, the decision module, the front, the exchange's actor and the timers.
 const RECORD_BYTES: usize = 2048;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
-    /// No attempt is out and no answer is given.
-    Held,
-    /// One attempt is out.
-    Out { office: ExchangeId, leg: u32, sent: Time },
-    /// The call stands.
-    Standing { office: ExchangeId, leg: u32, sent: Time },
+    /// No attempt is in progress, and no final answer was given.
+    NoAttempt,
+    /// One attempt is in progress.
+    Attempting { exchange_id: ExchangeId, leg: u32, sent: Time },
+    /// The call is established.
+    Established { exchange_id: ExchangeId, leg: u32, sent: Time },
 }
 
 #[derive(Debug)]
@@ -38,100 +39,108 @@
     width: u32,
     description: Arc<[u8]>,
     deadline: Time,
+    /// Number of attempts made, including those that a rule forbade.
     attempts: u32,
+    /// Earliest time of the next attempt.
     not_before: Time,
     stage: Stage,
 }
 
 impl Call {
-    /// The bytes that its record holds, about.
-    fn weight(&self) -> usize {
+    /// Approximate number of bytes that the record of the call occupies.
+    fn record_bytes(&self) -> usize {
         RECORD_BYTES + self.description.len()
     }
 }
 
-/// Logs and counts why a request was turned away.
-fn note_refusal(id: &CallId, reason: &'static str) {
+/// Logs and counts the refusal of a request.
+fn record_refusal(id: &CallId, reason: &'static str) {
     tracing::debug!(call = id.0, reason, "request refused");
     telemetry::request_refused(reason);
 }
 
-/// All calls of one signalling proxy, and the module that decides on them.
+/// All calls of one signalling proxy, with the decision module for them.
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
     tenants: Tenants,
     controller: Controller,
     calls: BTreeMap<CallId, Call>,
-    offices: BTreeMap<ExchangeId, (ServiceState, Option<Time>, ExchangeNumber)>,
-    /// Since when an exchange drains or is gone.
-    closed_at: BTreeMap<ExchangeId, Time>,
-    numbers: BTreeSet<ExchangeNumber>,
-    own_offices: BTreeSet<ExchangeId>,
-    heard: BTreeSet<ExchangeId>,
+    /// Service state, last start and number of each exchange on the roster.
+    roster: BTreeMap<ExchangeId, (ServiceState, Option<Time>, ExchangeNumber)>,
+    /// Time at which an exchange started to drain or was removed.
+    unavailable_since: BTreeMap<ExchangeId, Time>,
+    /// Exchange numbers that have ever been on the roster.
+    listed_numbers: BTreeSet<ExchangeNumber>,
+    /// Exchanges that have the number of the own exchange.
+    own_exchanges: BTreeSet<ExchangeId>,
+    /// Exchanges whose trunk group state has been received.
+    status_received: BTreeSet<ExchangeId>,
+    /// Buffer for the actions of the controller, kept for reuse.
     actions: Vec<Action>,
-    /// The proxy is about to end: new requests are refused.
-    closing: bool,
-    /// Bytes that the records of calls hold, and may hold.
+    /// The proxy is shutting down: new requests are refused.
+    shutting_down: bool,
+    /// Bytes that the records of calls occupy.
     held_bytes: usize,
-    most_bytes: usize,
+    /// Maximum of `held_bytes`.
+    max_bytes: usize,
 }
 
 impl Table {
-    /// A table without calls.
+    /// Creates a table without calls.
     pub fn new(settings: Settings, tenants: Tenants, seed: u64, now: Time) -> Self {
         Self::tuned(settings, Tuning::default(), tenants, seed, now)
     }
 
-    /// The same with other tuned values for the module.
+    /// Creates a table without calls whose decision module uses the given tuning.
     pub fn tuned(settings: Settings, tuning: Tuning, tenants: Tenants, seed: u64, now: Time) -> Self {
         let mut controller = Controller::with_tuning(settings.clone(), tuning, seed);
-        // Lists and states come unasked on real wires: what the module asks for at its start is under way.
+        // Rosters and states arrive unprompted, so the actions that the controller asks for at its start are dropped.
         controller.start(now, &mut Vec::new());
         Table {
             settings,
             tenants,
             controller,
             calls: BTreeMap::new(),
-            offices: BTreeMap::new(),
-            closed_at: BTreeMap::new(),
-            numbers: BTreeSet::new(),
-            own_offices: BTreeSet::new(),
-            heard: BTreeSet::new(),
+            roster: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
+            listed_numbers: BTreeSet::new(),
+            own_exchanges: BTreeSet::new(),
+            status_received: BTreeSet::new(),
             actions: Vec::new(),
-            closing: false,
+            shutting_down: false,
             held_bytes: 0,
-            most_bytes: usize::MAX,
+            max_bytes: usize::MAX,
         }
     }
 
-    /// Sets how many bytes the records of calls may hold: beyond it new requests are refused.
-    pub fn limit_bytes(&mut self, most: usize) {
-        self.most_bytes = most;
+    /// Sets the maximum number of bytes of the call records. Requests beyond it are refused.
+    pub fn limit_bytes(&mut self, limit: usize) {
+        self.max_bytes = limit;
     }
 
-    /// Bytes that the records of calls hold.
+    /// Bytes that the records of calls occupy.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// From now on every new request is refused; calls that are open or stand go on.
+    /// Refuses every new request from now on. Waiting and established calls continue.
     pub fn stop_admitting(&mut self) {
-        self.closing = true;
+        self.shutting_down = true;
     }
 
-    /// Gives every call that waits for a final answer its refusal, as the proxy is about to be killed.
-    pub fn refuse_open(&mut self, out: &mut Vec<CallEffect>) {
-        let open = self.calls.iter().filter(|(_, c)| !matches!(c.stage, Stage::Standing { .. }));
+    /// Refuses every call that waits for a final answer, as the proxy is about to be killed.
+    pub fn refuse_open(&mut self, effects: &mut Vec<CallEffect>) {
+        let open = self.calls.iter().filter(|(_, c)| !matches!(c.stage, Stage::Established { .. }));
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
-        let wait = self.longest_wait();
+        let cool_down = self.default_cool_down();
         for id in open {
-            self.conclude(id, CallerCommand::Refuse(wait), "shutting down", out);
+            self.give_final_answer(id, CallerCommand::Refuse(cool_down), "shutting down", effects);
         }
     }
 
-    /// What a refused caller is told where the module has no say.
-    fn longest_wait(&self) -> Option<Secs> {
+    /// The cool-down of a refusal that the decision module did not make.
+    fn default_cool_down(&self) -> Option<Secs> {
         self.settings.cool_down_allowed.then_some(self.settings.max_cool_down)
     }
 
@@ -140,15 +149,15 @@
         &self.tenants
     }
 
-    /// The tenants, to change them: it counts from the next request on.
+    /// The tenants, to change them. A change applies from the next request on.
     pub fn tenants_mut(&mut self) -> &mut Tenants {
         &mut self.tenants
     }
 
-    /// Forgets a call and counts what became of it.
-    fn forget(&mut self, id: &CallId, count: impl FnOnce(&mut Counts)) -> Option<Call> {
+    /// Removes a call and updates the counters of its tenant.
+    fn remove_call(&mut self, id: &CallId, count: impl FnOnce(&mut Counts)) -> Option<Call> {
         let call = self.calls.remove(id)?;
-        self.held_bytes = self.held_bytes.saturating_sub(call.weight());
+        self.held_bytes = self.held_bytes.saturating_sub(call.record_bytes());
         self.tenants.count(call.tenant.as_ref(), |counts| {
             counts.present = counts.present.saturating_sub(1);
             count(counts);
@@ -156,61 +165,69 @@
         Some(call)
     }
 
-    /// Calls that wait for a final answer.
+    /// Number of calls that wait for a final answer.
     pub fn open(&self) -> usize {
-        self.calls.values().filter(|c| !matches!(c.stage, Stage::Standing { .. })).count()
+        self.calls.values().filter(|c| !matches!(c.stage, Stage::Established { .. })).count()
     }
 
-    /// Calls that stand.
+    /// Number of established calls.
     pub fn standing(&self) -> usize {
         self.calls.len() - self.open()
     }
 
-    /// The list is in, and the state of the trunk group to every exchange on it.
+    /// Whether the roster has arrived, and the state of the trunk group to every exchange in service on it.
     pub fn informed(&self) -> bool {
-        let mut on =
-            self.offices.iter().filter(|(_, (c, ..))| *c == ServiceState::InService).map(|(id, _)| id);
-        !self.offices.is_empty() && on.all(|id| self.own_offices.contains(id) || self.heard.contains(id))
+        let mut in_service =
+            self.roster.iter().filter(|(_, (c, ..))| *c == ServiceState::InService).map(|(id, _)| id);
+        !self.roster.is_empty()
+            && in_service.all(|id| self.own_exchanges.contains(id) || self.status_received.contains(id))
     }
 
-    /// The levels of overload that the module sees: at the own processor, and at far ones in service.
+    /// The overload levels that the decision module estimates: of the own processor, and of each far exchange in
+    /// service.
     pub fn levels(&self) -> (usize, Vec<(ExchangeNumber, usize)>) {
         self.controller.levels()
     }
 
-    /// Takes one input and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Time, input: CallEvent, out: &mut Vec<CallEffect>) {
-        match input {
-            CallEvent::Request(request) => self.on_request(now, request, out),
-            CallEvent::CallerGaveUp(id) => self.on_gave_up(now, id, out),
-            CallEvent::CallerReleased(id) => self.on_hangup(now, id, out),
-            CallEvent::Answered { id, exchange: office, leg, description } => {
-                self.on_answered(now, id, office, leg, description, out);
+    /// Handles one event and appends the resulting effects in order.
+    pub fn handle(&mut self, now: Time, event: CallEvent, effects: &mut Vec<CallEffect>) {
+        match event {
+            CallEvent::Request(request) => self.on_request(now, request, effects),
+            CallEvent::CallerGaveUp(id) => self.on_caller_gave_up(now, id, effects),
+            CallEvent::CallerReleased(id) => self.on_caller_released(now, id, effects),
+            CallEvent::Answered { id, exchange: exchange_id, leg, description } => {
+                self.on_answered(now, id, exchange_id, leg, description, effects);
             }
-            CallEvent::SetUpFailed { id, exchange: office, leg, outcome, cause: why, report } => {
-                self.on_ended(now, id, office, leg, (outcome, why, report), out);
+            CallEvent::SetUpFailed { id, exchange: exchange_id, leg, outcome, cause: why, report } => {
+                self.on_set_up_failed(now, id, exchange_id, leg, (outcome, why, report), effects);
             }
-            CallEvent::ExchangeReleased { id, exchange: office, completed: whole, report } => {
-                self.on_released(now, id, office, whole, report, out);
+            CallEvent::ExchangeReleased { id, exchange: exchange_id, completed: whole, report } => {
+                self.on_exchange_released(now, id, exchange_id, whole, report, effects);
             }
-            CallEvent::Status { exchange: office, report } => {
-                // A state may cross the news that its exchange is gone.
-                if self.offices.contains_key(&office) {
-                    self.heard.insert(office);
+            CallEvent::Status { exchange: exchange_id, report } => {
+                // A state may cross the roster entry that removes its exchange.
+                if self.roster.contains_key(&exchange_id) {
+                    self.status_received.insert(exchange_id);
                 }
-                self.decide(now, Event::Status { exchange: office, ok: true, elapsed: 0.0, report }, out);
+                self.decide(
+                    now,
+                    Event::Status { exchange: exchange_id, ok: true, elapsed: 0.0, report },
+                    effects,
+                );
+            }
+            CallEvent::StatusLost(exchange_id) => self.decide(now, Event::StatusLost(exchange_id), effects),
+            CallEvent::ExchangeDown(exchange_id) => self.on_exchange_down(now, exchange_id, now, effects),
+            CallEvent::Roster { full: full_roster, entries: roster_entries } => {
+                self.on_roster(now, full_roster, roster_entries, effects)
             }
-            CallEvent::StatusLost(office) => self.decide(now, Event::StatusLost(office), out),
-            CallEvent::ExchangeDown(office) => self.on_died(now, office, now, out),
-            CallEvent::Roster { full: whole, entries: offices } => self.on_list(now, whole, offices, out),
-            CallEvent::TimerExpired(wake) => self.on_wake(now, wake, out),
+            CallEvent::TimerExpired(timer) => self.on_timer(now, timer, effects),
         }
     }
 
-    fn on_request(&mut self, now: Time, request: Request, out: &mut Vec<CallEffect>) {
+    fn on_request(&mut self, now: Time, request: Request, effects: &mut Vec<CallEffect>) {
         let (id, front) = (request.id.clone(), request.front);
         if self.calls.contains_key(&id) {
-            return out
+            return effects
                 .push(CallEffect::Log(format!("call {}: a second request with its id is ignored", id.0)));
         }
         let class = self.settings.classes.iter().position(|c| c.name == request.class);
@@ -218,9 +235,9 @@
             Some(RejectReason::UnknownClass)
         } else if !self.tenants.admits(request.tenant.as_ref()) {
             Some(RejectReason::UnknownTenant)
-        } else if !self.numbers.is_empty() && !self.numbers.contains(&request.dest) {
+        } else if !self.listed_numbers.is_empty() && !self.listed_numbers.contains(&request.dest) {
             Some(RejectReason::UnknownDestination)
-        } else if !self.makes_sense(&request, class) {
+        } else if !self.is_in_range(&request, class) {
             Some(RejectReason::OutOfRange)
         } else {
             None
@@ -228,21 +245,25 @@
         let tenant = request.tenant;
         if let Some(reject) = reject {
             self.tenants.count(tenant.as_ref(), |counts| counts.rejected += 1);
-            return out.push(CallEffect::Caller(front, id, CallerCommand::Reject(reject)));
+            return effects.push(CallEffect::Caller(front, id, CallerCommand::Reject(reject)));
         }
-        let reason = if self.closing {
+        let reason = if self.shutting_down {
             Some("shutting down")
         } else if self.tenants.is_full(tenant.as_ref()) {
             Some("tenant full")
-        } else if self.held_bytes + RECORD_BYTES + request.description.len() > self.most_bytes {
+        } else if self.held_bytes + RECORD_BYTES + request.description.len() > self.max_bytes {
             Some("memory")
         } else {
             None
         };
         if let Some(reason) = reason {
             self.tenants.count(tenant.as_ref(), |counts| counts.refused += 1);
-            note_refusal(&id, reason);
-            return out.push(CallEffect::Caller(front, id, CallerCommand::Refuse(self.longest_wait())));
+            record_refusal(&id, reason);
+            return effects.push(CallEffect::Caller(
+                front,
+                id,
+                CallerCommand::Refuse(self.default_cool_down()),
+            ));
         }
         self.tenants.count(tenant.as_ref(), |counts| {
             counts.taken += 1;
@@ -260,10 +281,10 @@
             deadline: now + ttl,
             attempts: 0,
             not_before: now,
-            stage: Stage::Held,
+            stage: Stage::NoAttempt,
         };
-        out.push(CallEffect::StartTimer(call.deadline, CallTimer::Deadline(id.clone())));
-        self.held_bytes += call.weight();
+        effects.push(CallEffect::StartTimer(call.deadline, CallTimer::Deadline(id.clone())));
+        self.held_bytes += call.record_bytes();
         self.calls.insert(id, call);
         let arrival = Arrival {
             id: request.id,
@@ -277,57 +298,69 @@
             class: ClassIndex(class.unwrap_or(0)),
             number: Some(request.number),
         };
-        self.decide(now, Event::Arrival(arrival), out);
+        self.decide(now, Event::Arrival(arrival), effects);
     }
 
-    /// No caller waits longer than its class is given up, none asks for more circuits than the widest class, and
-    /// only an exchange can be a tandem or where a call comes from.
-    fn makes_sense(&self, request: &Request, class: Option<usize>) -> bool {
+    /// Whether the figures of a request are in range: the caller waits no longer than the give-up time of its class
+    /// (with 0.1 s of tolerance), the request takes no more circuits than the widest class, and its tandem or
+    /// exchange of origin has been on the roster.
+    fn is_in_range(&self, request: &Request, class: Option<usize>) -> bool {
         let give_up = class.and_then(|ix| self.settings.classes.get(ix)).map_or(0.0, |c| c.give_up_after);
         let widest = self.settings.classes.iter().map(|c| c.width).fold(1, u32::max);
-        let known = |n: &ExchangeNumber| self.numbers.is_empty() || self.numbers.contains(n);
+        let is_listed =
+            |n: &ExchangeNumber| self.listed_numbers.is_empty() || self.listed_numbers.contains(n);
         request.ttl > 0.0
             && request.ttl <= give_up + 0.1
             && (1..=widest).contains(&request.width)
-            && request.hop.as_ref().is_none_or(known)
+            && request.hop.as_ref().is_none_or(is_listed)
     }
 
-    /// The caller waits no longer: nothing is owed to it, and what is out for it is called off.
-    fn on_gave_up(&mut self, now: Time, id: CallId, out: &mut Vec<CallEffect>) {
+    /// The caller has given up: it gets no final answer, and an attempt in progress is cancelled.
+    fn on_caller_gave_up(&mut self, now: Time, id: CallId, effects: &mut Vec<CallEffect>) {
         match self.calls.get(&id).map(|c| c.stage.clone()) {
-            Some(Stage::Out { office, leg, .. }) => {
-                out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
+            Some(Stage::Attempting { exchange_id, leg, .. }) => {
+                effects.push(CallEffect::Exchange(
+                    exchange_id,
+                    id.clone(),
+                    ExchangeCommand::CancelSetUp { leg },
+                ));
             }
-            Some(Stage::Held) => {}
-            // An answer crossed the caller's giving up: the call stands and nobody wants it.
-            Some(Stage::Standing { .. }) => {
+            Some(Stage::NoAttempt) => {}
+            // The answer crossed the caller's cancel: the call is established, but no longer wanted.
+            Some(Stage::Established { .. }) => {
                 let front = self.calls.get(&id).map(|c| c.front);
-                self.on_hangup(now, id.clone(), out);
-                out.extend(
+                self.on_caller_released(now, id.clone(), effects);
+                effects.extend(
                     front.map(|f| CallEffect::Caller(f, id, CallerCommand::Release { completed: false })),
                 );
                 return;
             }
             None => return,
         }
-        self.forget(&id, |counts| counts.given_up += 1);
-        self.decide(now, Event::Withdrawn(id), out);
+        self.remove_call(&id, |counts| counts.given_up += 1);
+        self.decide(now, Event::Withdrawn(id), effects);
     }
 
-    fn on_hangup(&mut self, now: Time, id: CallId, out: &mut Vec<CallEffect>) {
-        let Some(Stage::Standing { office, leg, sent }) = self.calls.get(&id).map(|c| c.stage.clone()) else {
-            return self.on_gave_up_if_open(now, id, out);
+    fn on_caller_released(&mut self, now: Time, id: CallId, effects: &mut Vec<CallEffect>) {
+        let Some(Stage::Established { exchange_id, leg, sent }) =
+            self.calls.get(&id).map(|c| c.stage.clone())
+        else {
+            return self.give_up_if_waiting(now, id, effects);
         };
-        self.forget(&id, |_| {});
-        out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::Release { leg: Some(leg) }));
+        self.remove_call(&id, |_| {});
+        effects.push(CallEffect::Exchange(
+            exchange_id,
+            id.clone(),
+            ExchangeCommand::Release { leg: Some(leg) },
+        ));
         let end = (Outcome::Cancelled, Cause::Unspecified, LoadReport::default());
-        self.tell_end(now, &id, (office, leg, sent), end, true, out);
+        self.report_end(now, &id, (exchange_id, leg, sent), end, true, effects);
     }
 
-    /// A release of a call that does not stand yet can only mean that its caller wants no more of it.
-    fn on_gave_up_if_open(&mut self, now: Time, id: CallId, out: &mut Vec<CallEffect>) {
+    /// Handles a caller's release of a call that is not established yet: it means that the caller gives up.
+    fn give_up_if_waiting(&mut self, now: Time, id: CallId, effects: &mut Vec<CallEffect>) {
         if self.calls.contains_key(&id) {
-            self.on_gave_up(now, id, out);
+            self.on_caller_gave_up(now, id, effects);
         }
     }
 
@@ -335,53 +368,57 @@
         &mut self,
         now: Time,
         id: CallId,
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         leg: Option<u32>,
         description: Arc<[u8]>,
-        out: &mut Vec<CallEffect>,
+        effects: &mut Vec<CallEffect>,
     ) {
-        let matches = |o: ExchangeId, l: u32| o == office && leg.is_none_or(|leg| leg == l);
+        let matches = |o: ExchangeId, l: u32| o == exchange_id && leg.is_none_or(|leg| leg == l);
         if let Some(call) = self.calls.get_mut(&id) {
             match call.stage {
-                Stage::Out { office: o, leg, sent } if matches(o, leg) => {
-                    call.stage = Stage::Standing { office, leg, sent };
-                    // It is not sent again.
+                Stage::Attempting { exchange_id: o, leg, sent } if matches(o, leg) => {
+                    call.stage = Stage::Established { exchange_id, leg, sent };
+                    // The description is not needed any longer, as no attempt follows.
                     self.held_bytes = self.held_bytes.saturating_sub(call.description.len());
                     call.description = Arc::from([]);
                     self.tenants.count(call.tenant.as_ref(), |counts| counts.stood += 1);
-                    tracing::debug!(call = id.0, office = o.0, attempt = leg, "call stands");
-                    out.push(CallEffect::Caller(call.front, id.clone(), CallerCommand::Answer(description)));
+                    tracing::debug!(call = id.0, office = o.0, attempt = leg, "call established");
+                    effects.push(CallEffect::Caller(
+                        call.front,
+                        id.clone(),
+                        CallerCommand::Answer(description),
+                    ));
                     return self.decide(
                         now,
-                        Event::Established { id, leg, exchange: office, elapsed: now - sent },
-                        out,
+                        Event::Established { id, leg, exchange: exchange_id, elapsed: now - sent },
+                        effects,
                     );
                 }
-                // Said twice.
-                Stage::Standing { office: o, leg, .. } if matches(o, leg) => return,
+                // A repeated answer.
+                Stage::Established { exchange_id: o, leg, .. } if matches(o, leg) => return,
                 _ => {}
             }
         }
-        // It crossed our giving up: nobody is there to take it.
-        out.push(CallEffect::Exchange(office, id, ExchangeCommand::Release { leg }));
+        // The answer crossed the cancel of this attempt: no caller waits for it.
+        effects.push(CallEffect::Exchange(exchange_id, id, ExchangeCommand::Release { leg }));
     }
 
-    fn on_ended(
+    fn on_set_up_failed(
         &mut self,
         now: Time,
         id: CallId,
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         leg: Option<u32>,
         (outcome, why, report): (Outcome, Cause, LoadReport),
-        out: &mut Vec<CallEffect>,
+        effects: &mut Vec<CallEffect>,
     ) {
         if let Some(call) = self.calls.get_mut(&id) {
-            if let Stage::Out { office: o, leg: l, sent } = call.stage {
-                if o == office && leg.is_none_or(|leg| leg == l) {
-                    call.stage = Stage::Held;
+            if let Stage::Attempting { exchange_id: o, leg: l, sent } = call.stage {
+                if o == exchange_id && leg.is_none_or(|leg| leg == l) {
+                    call.stage = Stage::NoAttempt;
                     tracing::debug!(
                         call = id.0,
-                        office = office.0,
+                        office = exchange_id.0,
                         attempt = l,
                         ?outcome,
                         ?why,
@@ -390,243 +427,299 @@
                     if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
                         call.not_before = now + self.settings.release_pause;
                     }
-                    return self.tell_end(now, &id, (office, l, sent), (outcome, why, report), false, out);
+                    return self.report_end(
+                        now,
+                        &id,
+                        (exchange_id, l, sent),
+                        (outcome, why, report),
+                        false,
+                        effects,
+                    );
                 }
             }
         }
         if report != LoadReport::default() {
-            self.decide(now, Event::Status { exchange: office, ok: true, elapsed: 0.0, report }, out);
+            self.decide(
+                now,
+                Event::Status { exchange: exchange_id, ok: true, elapsed: 0.0, report },
+                effects,
+            );
         }
     }
 
-    fn on_released(
+    fn on_exchange_released(
         &mut self,
         now: Time,
         id: CallId,
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         whole: bool,
         report: LoadReport,
-        out: &mut Vec<CallEffect>,
+        effects: &mut Vec<CallEffect>,
     ) {
-        let standing = match self.calls.get(&id) {
-            Some(Call { stage: Stage::Standing { office: o, leg, sent }, front, .. }) if *o == office => {
+        let established = match self.calls.get(&id) {
+            Some(Call { stage: Stage::Established { exchange_id: o, leg, sent }, front, .. })
+                if *o == exchange_id =>
+            {
                 Some((*front, *leg, *sent))
             }
             _ => None,
         };
-        // An exchange says it on every connection, so that most come twice.
-        let Some((front, leg, sent)) = standing else { return };
-        tracing::debug!(call = id.0, office = office.0, whole, "call released");
-        self.forget(&id, |_| {});
-        out.push(CallEffect::Caller(front, id.clone(), CallerCommand::Release { completed: whole }));
+        // An exchange sends a release on every connection, so most arrive twice.
+        let Some((front, leg, sent)) = established else { return };
+        tracing::debug!(call = id.0, office = exchange_id.0, whole, "call released");
+        self.remove_call(&id, |_| {});
+        effects.push(CallEffect::Caller(front, id.clone(), CallerCommand::Release { completed: whole }));
         let outcome = if whole { Outcome::Completed } else { Outcome::Reset };
-        self.tell_end(now, &id, (office, leg, sent), (outcome, Cause::Unspecified, report), true, out);
-    }
-
-    /// The process of an exchange has died: what was sent to it before a time is cut.
-    fn on_died(&mut self, now: Time, office: ExchangeId, before: Time, out: &mut Vec<CallEffect>) {
-        let there = |s: &Stage| match s {
-            Stage::Out { office: o, sent, .. } | Stage::Standing { office: o, sent, .. } => {
-                *o == office && *sent <= before
-            }
-            Stage::Held => false,
+        self.report_end(
+            now,
+            &id,
+            (exchange_id, leg, sent),
+            (outcome, Cause::Unspecified, report),
+            true,
+            effects,
+        );
+    }
+
+    /// The process of an exchange has died: attempts and calls that were sent to it up to `before` end as reset.
+    fn on_exchange_down(
+        &mut self,
+        now: Time,
+        exchange_id: ExchangeId,
+        before: Time,
+        effects: &mut Vec<CallEffect>,
+    ) {
+        let is_at_exchange = |s: &Stage| match s {
+            Stage::Attempting { exchange_id: o, sent, .. }
+            | Stage::Established { exchange_id: o, sent, .. } => *o == exchange_id && *sent <= before,
+            Stage::NoAttempt => false,
         };
-        let hit: Vec<_> =
-            self.calls.iter().filter(|(_, c)| there(&c.stage)).map(|(id, _)| id.clone()).collect();
-        for id in hit {
-            self.on_released(now, id.clone(), office, false, LoadReport::default(), out);
-            self.on_ended(
+        let affected: Vec<_> =
+            self.calls.iter().filter(|(_, c)| is_at_exchange(&c.stage)).map(|(id, _)| id.clone()).collect();
+        for id in affected {
+            self.on_exchange_released(now, id.clone(), exchange_id, false, LoadReport::default(), effects);
+            self.on_set_up_failed(
                 now,
                 id,
-                office,
+                exchange_id,
                 None,
                 (Outcome::Reset, Cause::Unspecified, LoadReport::default()),
-                out,
+                effects,
             );
         }
     }
 
-    fn on_list(&mut self, now: Time, whole: bool, offices: Vec<RosterEntry>, out: &mut Vec<CallEffect>) {
-        let mut dead = Vec::new();
-        if whole {
-            for (id, held) in &mut self.offices {
-                if held.0 != ServiceState::Removed && !offices.iter().any(|o| o.id == *id) {
-                    held.0 = ServiceState::Removed;
-                    self.closed_at.entry(*id).or_insert(now);
-                    dead.push((*id, now));
+    fn on_roster(
+        &mut self,
+        now: Time,
+        full_roster: bool,
+        roster_entries: Vec<RosterEntry>,
+        effects: &mut Vec<CallEffect>,
+    ) {
+        let mut down = Vec::new();
+        if full_roster {
+            for (id, listed) in &mut self.roster {
+                if listed.0 != ServiceState::Removed && !roster_entries.iter().any(|e| e.id == *id) {
+                    listed.0 = ServiceState::Removed;
+                    self.unavailable_since.entry(*id).or_insert(now);
+                    down.push((*id, now));
                 }
             }
         }
-        for office in &offices {
-            self.numbers.insert(office.number);
-            if self.settings.own_exchange == Some(office.number) {
-                self.own_offices.insert(office.id);
+        for entry in &roster_entries {
+            self.listed_numbers.insert(entry.number);
+            if self.settings.own_exchange == Some(entry.number) {
+                self.own_exchanges.insert(entry.id);
             }
-            let old = self.offices.insert(office.id, (office.state, office.ready_at, office.number));
-            let restarted = old.is_some_and(|(_, at, _)| at != office.ready_at);
-            if office.state == ServiceState::Removed && old.is_some_and(|(c, ..)| c != ServiceState::Removed)
+            let previous = self.roster.insert(entry.id, (entry.state, entry.ready_at, entry.number));
+            let has_restarted = previous.is_some_and(|(_, at, _)| at != entry.ready_at);
+            if entry.state == ServiceState::Removed
+                && previous.is_some_and(|(c, ..)| c != ServiceState::Removed)
             {
-                dead.push((office.id, now));
-            } else if restarted {
-                dead.push((office.id, office.ready_at.unwrap_or(now)));
+                down.push((entry.id, now));
+            } else if has_restarted {
+                down.push((entry.id, entry.ready_at.unwrap_or(now)));
             }
-            if office.state == ServiceState::InService {
-                self.closed_at.remove(&office.id);
+            if entry.state == ServiceState::InService {
+                self.unavailable_since.remove(&entry.id);
             } else {
-                self.closed_at.entry(office.id).or_insert(now);
+                self.unavailable_since.entry(entry.id).or_insert(now);
             }
         }
-        let kind = if whole { RosterKind::Full } else { RosterKind::Incremental };
-        self.decide(now, Event::Roster { kind, entries: offices }, out);
-        for (office, before) in dead {
-            self.on_died(now, office, before, out);
+        let kind = if full_roster { RosterKind::Full } else { RosterKind::Incremental };
+        self.decide(now, Event::Roster { kind, entries: roster_entries }, effects);
+        for (exchange_id, before) in down {
+            self.on_exchange_down(now, exchange_id, before, effects);
         }
-        // Ids never come back: what is gone is as good as never listed.
-        let offices = &mut self.offices;
-        offices.retain(|_, (condition, ..)| *condition != ServiceState::Removed);
-        self.closed_at.retain(|id, _| offices.contains_key(id));
-        self.own_offices.retain(|id| offices.contains_key(id));
-        self.heard.retain(|id| offices.contains_key(id));
+        // Ids are never reused, so nothing has to be kept of removed exchanges.
+        let roster = &mut self.roster;
+        roster.retain(|_, (state, ..)| *state != ServiceState::Removed);
+        self.unavailable_since.retain(|id, _| roster.contains_key(id));
+        self.own_exchanges.retain(|id| roster.contains_key(id));
+        self.status_received.retain(|id| roster.contains_key(id));
     }
 
-    /// Exchanges that are remembered.
+    /// Largest number of exchanges in any of the maps by exchange, as a check on their memory.
     pub fn exchanges(&self) -> usize {
-        [self.offices.len(), self.closed_at.len(), self.own_offices.len(), self.heard.len()]
-            .into_iter()
-            .max()
-            .unwrap_or(0)
-    }
-
-    fn on_wake(&mut self, now: Time, wake: CallTimer, out: &mut Vec<CallEffect>) {
-        match wake {
-            CallTimer::Controller(token) => self.decide(now, Event::Timer(token), out),
+        [
+            self.roster.len(),
+            self.unavailable_since.len(),
+            self.own_exchanges.len(),
+            self.status_received.len(),
+        ]
+        .into_iter()
+        .max()
+        .unwrap_or(0)
+    }
+
+    fn on_timer(&mut self, now: Time, timer: CallTimer, effects: &mut Vec<CallEffect>) {
+        match timer {
+            CallTimer::Controller(token) => self.decide(now, Event::Timer(token), effects),
             CallTimer::AttemptTimeout(id, leg) => {
-                let Some(Stage::Out { office, leg: l, .. }) = self.calls.get(&id).map(|c| c.stage.clone())
+                let Some(Stage::Attempting { exchange_id, leg: l, .. }) =
+                    self.calls.get(&id).map(|c| c.stage.clone())
                 else {
                     return;
                 };
                 if leg == l {
-                    out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
+                    effects.push(CallEffect::Exchange(
+                        exchange_id,
+                        id.clone(),
+                        ExchangeCommand::CancelSetUp { leg },
+                    ));
                     let end = (Outcome::TimedOut, Cause::Unspecified, LoadReport::default());
-                    self.on_ended(now, id, office, Some(leg), end, out);
+                    self.on_set_up_failed(now, id, exchange_id, Some(leg), end, effects);
                 }
             }
             CallTimer::Deadline(id) => {
-                // An attempt that is out until the last moment has timed out: the module learns from that,
-                // and mostly gives the final answer itself.
-                if let Some(Stage::Out { leg, .. }) = self.calls.get(&id).map(|c| c.stage.clone()) {
-                    self.on_wake(now, CallTimer::AttemptTimeout(id.clone(), leg), out);
+                // An attempt that is still in progress has timed out. The decision module learns from the time-out,
+                // and usually gives the final answer itself.
+                if let Some(Stage::Attempting { leg, .. }) = self.calls.get(&id).map(|c| c.stage.clone()) {
+                    self.on_timer(now, CallTimer::AttemptTimeout(id.clone(), leg), effects);
                 }
-                let Some(Call { front, stage: Stage::Held, .. }) = self.calls.get(&id) else { return };
-                note_refusal(&id, "deadline");
-                out.push(CallEffect::Caller(*front, id.clone(), CallerCommand::Refuse(self.longest_wait())));
-                self.forget(&id, |counts| counts.refused += 1);
-                self.decide(now, Event::Withdrawn(id), out);
+                let Some(Call { front, stage: Stage::NoAttempt, .. }) = self.calls.get(&id) else { return };
+                record_refusal(&id, "deadline");
+                effects.push(CallEffect::Caller(
+                    *front,
+                    id.clone(),
+                    CallerCommand::Refuse(self.default_cool_down()),
+                ));
+                self.remove_call(&id, |counts| counts.refused += 1);
+                self.decide(now, Event::Withdrawn(id), effects);
             }
         }
     }
 
-    fn tell_end(
+    /// Tells the decision module how an attempt or an established call ended.
+    fn report_end(
         &mut self,
         now: Time,
         id: &CallId,
-        (office, leg, sent): (ExchangeId, u32, Time),
+        (exchange_id, leg, sent): (ExchangeId, u32, Time),
         (outcome, why, report): (Outcome, Cause, LoadReport),
-        closed: bool,
-        out: &mut Vec<CallEffect>,
+        is_concluded: bool,
+        effects: &mut Vec<CallEffect>,
     ) {
         let took = now - sent;
-        let answer = AttemptResult {
+        let result = AttemptResult {
             id: id.clone(),
             leg,
-            exchange: office,
+            exchange: exchange_id,
             outcome,
             elapsed: took,
             cause: why,
             retry_after: None,
-            concluded: closed,
+            concluded: is_concluded,
             report,
         };
-        self.decide(now, Event::AttemptEnded(answer), out);
+        self.decide(now, Event::AttemptEnded(result), effects);
     }
 
-    /// Hands an event to the module and carries its actions out; a refused send is one more event.
-    fn decide(&mut self, now: Time, event: Event, out: &mut Vec<CallEffect>) {
+    /// Passes an event to the decision module and carries out its actions. An attempt that a rule forbids results in
+    /// one more event.
+    fn decide(&mut self, now: Time, event: Event, effects: &mut Vec<CallEffect>) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut actions = std::mem::take(&mut self.actions);
             self.controller.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.act(now, action, out));
+                events.extend(self.carry_out(now, action, effects));
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<CallEffect>) -> Option<Event> {
+    /// Carries out one action of the decision module.
+    fn carry_out(&mut self, now: Time, action: Action, effects: &mut Vec<CallEffect>) -> Option<Event> {
         match action {
-            Action::Attempt { id, exchange: office, abandon_at } => {
-                return self.attempt(now, id, office, abandon_at, out)
+            Action::Attempt { id, exchange: exchange_id, abandon_at } => {
+                return self.attempt(now, id, exchange_id, abandon_at, effects)
             }
             Action::Refuse { id, cool_down, reason } => {
-                self.conclude(id, CallerCommand::Refuse(cool_down), reason.name(), out);
+                self.give_final_answer(id, CallerCommand::Refuse(cool_down), reason.name(), effects);
             }
-            Action::Fail(id) => self.conclude(id, CallerCommand::Fail, "may have run", out),
+            Action::Fail(id) => self.give_final_answer(id, CallerCommand::Fail, "may have run", effects),
             Action::Cancel { id, leg } => {
-                let Some(Stage::Out { office, leg: l, .. }) = self.calls.get(&id).map(|c| c.stage.clone())
+                let Some(Stage::Attempting { exchange_id, leg: l, .. }) =
+                    self.calls.get(&id).map(|c| c.stage.clone())
                 else {
                     return None;
                 };
                 if l == leg {
-                    out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
+                    effects.push(CallEffect::Exchange(
+                        exchange_id,
+                        id.clone(),
+                        ExchangeCommand::CancelSetUp { leg },
+                    ));
                     let end = (Outcome::Cancelled, Cause::Unspecified, LoadReport::default());
-                    self.on_ended(now, id, office, Some(leg), end, out);
+                    self.on_set_up_failed(now, id, exchange_id, Some(leg), end, effects);
                 }
             }
             Action::Timer { after, token } => {
-                out.push(CallEffect::StartTimer(now + after, CallTimer::Controller(token)))
+                effects.push(CallEffect::StartTimer(now + after, CallTimer::Controller(token)))
             }
-            Action::Log(text) => out.push(CallEffect::Log(text)),
-            // The deployment allows neither probes nor messages, and pushes its list.
+            Action::Log(text) => effects.push(CallEffect::Log(text)),
+            // The deployment allows neither probes nor messages between proxies, and sends the roster unprompted.
             Action::Probe(_) | Action::PeerMessage { .. } | Action::Subscribe | Action::FetchRoster => {}
         }
         None
     }
 
-    /// Sends one attempt unless a rule forbids it: then it never leaves and the module hears so.
+    /// Sends one attempt. If a rule forbids it, nothing is sent, and the result is the event that tells the decision
+    /// module.
     fn attempt(
         &mut self,
         now: Time,
         id: CallId,
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         abandon_at: Time,
-        out: &mut Vec<CallEffect>,
+        effects: &mut Vec<CallEffect>,
     ) -> Option<Event> {
-        let most = self.settings.max_attempts.max(1);
-        let shut = self.closed_at.get(&office).is_some_and(|at| now - *at >= self.settings.drain_grace);
-        let own = self.own_offices.contains(&office);
+        let max_attempts = self.settings.max_attempts.max(1);
+        let is_closed =
+            self.unavailable_since.get(&exchange_id).is_some_and(|at| now - *at >= self.settings.drain_grace);
+        let is_own = self.own_exchanges.contains(&exchange_id);
         let call = self.calls.get_mut(&id)?;
         let leg = call.attempts;
         call.attempts += 1;
-        let forbidden = if call.stage != Stage::Held {
+        let forbidden = if call.stage != Stage::NoAttempt {
             Some("an attempt is out or the call stands")
-        } else if leg >= most {
+        } else if leg >= max_attempts {
             Some("no attempt is left")
         } else if now < call.not_before {
             Some("the release is awaited")
-        } else if shut || !self.offices.contains_key(&office) {
+        } else if is_closed || !self.roster.contains_key(&exchange_id) {
             Some("the exchange drains or is gone")
-        } else if own {
+        } else if is_own {
             Some("it is the own exchange")
         } else {
             None
         };
         if let Some(why) = forbidden {
-            out.push(CallEffect::Log(format!("call {}: attempt {leg} held back: {why}", id.0)));
+            effects.push(CallEffect::Log(format!("call {}: attempt {leg} held back: {why}", id.0)));
             return Some(Event::AttemptEnded(AttemptResult {
                 id,
                 leg,
-                exchange: office,
+                exchange: exchange_id,
                 outcome: Outcome::NotSent,
                 elapsed: 0.0,
                 cause: Cause::Unspecified,
@@ -635,9 +728,10 @@
                 report: LoadReport::default(),
             }));
         }
-        let until = if abandon_at.0 > 0.0 && abandon_at < call.deadline { abandon_at } else { call.deadline };
-        call.stage = Stage::Out { office, leg, sent: now };
-        let direct = self.offices.get(&office).is_some_and(|(.., number)| *number == call.dest);
+        let expires_at =
+            if abandon_at.0 > 0.0 && abandon_at < call.deadline { abandon_at } else { call.deadline };
+        call.stage = Stage::Attempting { exchange_id, leg, sent: now };
+        let direct = self.roster.get(&exchange_id).is_some_and(|(.., number)| *number == call.dest);
         let set_up = SetUp {
             leg,
             direct,
@@ -645,26 +739,37 @@
             number: call.number.clone(),
             width: call.width,
             description: call.description.clone(),
-            abandon_at: until,
+            abandon_at: expires_at,
         };
-        tracing::debug!(call = id.0, office = office.0, attempt = leg, direct, "attempt sent");
-        out.push(CallEffect::StartTimer(until, CallTimer::AttemptTimeout(id.clone(), leg)));
-        out.push(CallEffect::Exchange(office, id, ExchangeCommand::SetUp(set_up)));
+        tracing::debug!(call = id.0, office = exchange_id.0, attempt = leg, direct, "attempt sent");
+        effects.push(CallEffect::StartTimer(expires_at, CallTimer::AttemptTimeout(id.clone(), leg)));
+        effects.push(CallEffect::Exchange(exchange_id, id, ExchangeCommand::SetUp(set_up)));
         None
     }
 
-    fn conclude(&mut self, id: CallId, near: CallerCommand, reason: &'static str, out: &mut Vec<CallEffect>) {
+    /// Gives the caller its final answer, unless the call is established, and cancels an attempt in progress.
+    fn give_final_answer(
+        &mut self,
+        id: CallId,
+        final_answer: CallerCommand,
+        reason: &'static str,
+        effects: &mut Vec<CallEffect>,
+    ) {
         let Some(call) = self.calls.get(&id) else { return };
         match call.stage {
-            Stage::Standing { .. } => return,
-            Stage::Out { office, leg, .. } => {
-                out.push(CallEffect::Exchange(office, id.clone(), ExchangeCommand::CancelSetUp { leg }));
+            Stage::Established { .. } => return,
+            Stage::Attempting { exchange_id, leg, .. } => {
+                effects.push(CallEffect::Exchange(
+                    exchange_id,
+                    id.clone(),
+                    ExchangeCommand::CancelSetUp { leg },
+                ));
             }
-            Stage::Held => {}
+            Stage::NoAttempt => {}
         }
-        let failed = near == CallerCommand::Fail;
-        note_refusal(&id, reason);
-        out.push(CallEffect::Caller(call.front, id.clone(), near));
-        self.forget(&id, |counts| *(if failed { &mut counts.failed } else { &mut counts.refused }) += 1);
+        let failed = final_answer == CallerCommand::Fail;
+        record_refusal(&id, reason);
+        effects.push(CallEffect::Caller(call.front, id.clone(), final_answer));
+        self.remove_call(&id, |counts| *(if failed { &mut counts.failed } else { &mut counts.refused }) += 1);
     }
 }
--- a/src/limits/connections.rs
+++ b/src/limits/connections.rs
@@ -98,31 +98,31 @@
     }
 
     /// Adds an exchange.
-    pub fn add_exchange(&mut self, now: Time, office: ExchangeId) {
+    pub fn add_exchange(&mut self, now: Time, exchange: ExchangeId) {
         let usage = ExchangeUsage { connections: 0, busy: false, last_used: now, close_requested: false };
-        self.usages.entry(office).or_insert(usage);
+        self.usages.entry(exchange).or_insert(usage);
     }
 
     /// Removes an exchange together with its connections.
-    pub fn remove_exchange(&mut self, office: ExchangeId) {
-        if let Some(usage) = self.usages.remove(&office) {
+    pub fn remove_exchange(&mut self, exchange: ExchangeId) {
+        if let Some(usage) = self.usages.remove(&exchange) {
             self.allocated -= usage.connections;
         }
     }
 
     /// Records that an exchange has become busy or idle.
-    pub fn set_busy(&mut self, now: Time, office: ExchangeId, busy: bool) {
-        if let Some(usage) = self.usages.get_mut(&office) {
+    pub fn set_busy(&mut self, now: Time, exchange: ExchangeId, busy: bool) {
+        if let Some(usage) = self.usages.get_mut(&exchange) {
             usage.busy = busy;
             usage.last_used = now;
         }
     }
 
     /// Requests a connection to an exchange.
-    pub fn request(&mut self, office: ExchangeId, purpose: Purpose) -> Allocation {
+    pub fn request(&mut self, exchange: ExchangeId, purpose: Purpose) -> Allocation {
         let free = self.limit.saturating_sub(self.allocated);
         let (spare, target) = (self.spare(), self.target_per_exchange());
-        let Some(usage) = self.usages.get_mut(&office) else { return Allocation::Denied };
+        let Some(usage) = self.usages.get_mut(&exchange) else { return Allocation::Denied };
         let granted = match purpose {
             Purpose::Another => usage.connections < target && free > spare,
             Purpose::Idle => free > spare,
@@ -136,9 +136,9 @@
         let victim = match purpose {
             Purpose::Another => None,
             // More exchanges have been added: one with more connections than its present share closes one.
-            Purpose::Idle => self.most_connected(office).filter(|(_, allocated)| *allocated > target),
+            Purpose::Idle => self.most_connected(exchange).filter(|(_, allocated)| *allocated > target),
             Purpose::Needed | Purpose::Verify => {
-                self.most_connected(office).or_else(|| self.longest_idle(office))
+                self.most_connected(exchange).or_else(|| self.longest_idle(exchange))
             }
         };
         match victim.map(|(id, _)| id) {
@@ -176,8 +176,8 @@
     }
 
     /// Records that a connection was closed, or was granted and could not be opened.
-    pub fn connection_closed(&mut self, office: ExchangeId) {
-        if let Some(usage) = self.usages.get_mut(&office) {
+    pub fn connection_closed(&mut self, exchange: ExchangeId) {
+        if let Some(usage) = self.usages.get_mut(&exchange) {
             self.allocated -= usage.connections.min(1);
             usage.connections = usage.connections.saturating_sub(1);
             usage.close_requested = false;
@@ -185,8 +185,8 @@
     }
 
     /// Records that an exchange cannot close a connection now.
-    pub fn close_declined(&mut self, office: ExchangeId) {
-        if let Some(usage) = self.usages.get_mut(&office) {
+    pub fn close_declined(&mut self, exchange: ExchangeId) {
+        if let Some(usage) = self.usages.get_mut(&exchange) {
             usage.close_requested = false;
         }
     }
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The core by itself: a scripted call from request to release, and the guards of the rules.
+//! Tests of the call table without network: scripted calls from request to release, and the enforcement of the rules.
 
 mod common;
 use std::sync::Arc;
@@ -10,35 +10,36 @@
 };
 use mallowring::interface::*;
 
-struct Core {
+/// A call table with a scripted clock.
+struct Harness {
     table: Table,
     now: f64,
 }
 
-impl Core {
-    /// A table that has heard of exchanges 0 (its own) to 4, with 30 free circuits to each.
-    fn new() -> Core {
+impl Harness {
+    /// A table with exchanges 0 (its own) to 4 on its roster, and 30 free circuits to each of the others.
+    fn new() -> Harness {
         let acme = Tenant { name: "acme".into(), suspended: false, max_calls: None };
         let tenants = Tenants::new([acme]);
-        let mut core = Core {
+        let mut harness = Harness {
             table: Table::new(Settings { max_attempts: 4, ..settings() }, tenants, 7, Time(1000.0)),
             now: 1000.0,
         };
-        core.put(CallEvent::Roster { full: true, entries: (0..5).map(office).collect() });
-        assert!(!core.table.informed(), "no state is in");
+        harness.handle(CallEvent::Roster { full: true, entries: (0..5).map(office).collect() });
+        assert!(!harness.table.informed(), "no state has arrived");
         let report =
             LoadReport { free_circuits: Some(30.0), group_size: Some(30.0), ..LoadReport::default() };
         for number in 1..5 {
-            core.put(CallEvent::Status { exchange: office(number).id, report });
+            harness.handle(CallEvent::Status { exchange: office(number).id, report });
         }
-        assert!(core.table.informed());
-        core
+        assert!(harness.table.informed());
+        harness
     }
 
-    fn put(&mut self, input: CallEvent) -> Vec<CallEffect> {
-        let mut out = Vec::new();
-        self.table.handle(Time(self.now), input, &mut out);
-        out
+    fn handle(&mut self, event: CallEvent) -> Vec<CallEffect> {
+        let mut effects = Vec::new();
+        self.table.handle(Time(self.now), event, &mut effects);
+        effects
     }
 
     fn request(&self, id: &str) -> Request {
@@ -59,35 +60,35 @@
         }
     }
 
-    /// A call that is out to exchange 3.
-    fn call(&mut self, id: &str) -> CallId {
-        let out = self.put(CallEvent::Request(self.request(id)));
-        assert_eq!(set_ups(&out), 1, "{out:?}");
+    /// Requests a call, of which an attempt is sent to exchange 3.
+    fn attempted_call(&mut self, id: &str) -> CallId {
+        let effects = self.handle(CallEvent::Request(self.request(id)));
+        assert_eq!(set_ups(&effects), 1, "{effects:?}");
         CallId(id.into())
     }
 
-    fn standing(&mut self, id: &str) -> CallId {
-        let id = self.call(id);
+    fn established_call(&mut self, id: &str) -> CallId {
+        let id = self.attempted_call(id);
         let answer = Arc::from(&b"answer\0\xff"[..]);
-        let input = CallEvent::Answered {
+        let event = CallEvent::Answered {
             id: id.clone(),
             exchange: ExchangeId(103),
             leg: Some(0),
             description: answer,
         };
-        let out = self.put(input);
+        let effects = self.handle(event);
         assert!(
-            matches!(&nears(&out)[..], [CallerCommand::Answer(d)] if d[..] == b"answer\0\xff"[..]),
-            "{out:?}"
+            matches!(&caller_commands(&effects)[..], [CallerCommand::Answer(d)] if d[..] == b"answer\0\xff"[..]),
+            "{effects:?}"
         );
         id
     }
 
-    fn ended(&mut self, id: &CallId, leg: u32, outcome: Outcome) -> Vec<CallEffect> {
-        let (office, why, report) = (ExchangeId(103), Cause::Unspecified, LoadReport::default());
-        self.put(CallEvent::SetUpFailed {
+    fn set_up_failed(&mut self, id: &CallId, leg: u32, outcome: Outcome) -> Vec<CallEffect> {
+        let (exchange_id, why, report) = (ExchangeId(103), Cause::Unspecified, LoadReport::default());
+        self.handle(CallEvent::SetUpFailed {
             id: id.clone(),
-            exchange: office,
+            exchange: exchange_id,
             leg: Some(leg),
             outcome,
             cause: why,
@@ -96,168 +97,183 @@
     }
 }
 
-fn nears(out: &[CallEffect]) -> Vec<CallerCommand> {
-    let near = |c: &CallEffect| match c {
-        CallEffect::Caller(_, _, near) => Some(near.clone()),
+fn caller_commands(effects: &[CallEffect]) -> Vec<CallerCommand> {
+    let caller_command = |c: &CallEffect| match c {
+        CallEffect::Caller(_, _, caller_command) => Some(caller_command.clone()),
         _ => None,
     };
-    out.iter().filter_map(near).collect()
+    effects.iter().filter_map(caller_command).collect()
 }
 
-fn fars(out: &[CallEffect]) -> Vec<ExchangeCommand> {
-    let far = |c: &CallEffect| match c {
-        CallEffect::Exchange(_, _, far) => Some(far.clone()),
+fn exchange_commands(effects: &[CallEffect]) -> Vec<ExchangeCommand> {
+    let exchange_command = |c: &CallEffect| match c {
+        CallEffect::Exchange(_, _, exchange_command) => Some(exchange_command.clone()),
         _ => None,
     };
-    out.iter().filter_map(far).collect()
+    effects.iter().filter_map(exchange_command).collect()
 }
 
-fn set_ups(out: &[CallEffect]) -> usize {
-    fars(out).iter().filter(|f| matches!(f, ExchangeCommand::SetUp(_))).count()
+fn set_ups(effects: &[CallEffect]) -> usize {
+    exchange_commands(effects).iter().filter(|f| matches!(f, ExchangeCommand::SetUp(_))).count()
 }
 
-/// The latest thing that a command asks to be woken for.
-fn wakes(out: &[CallEffect]) -> Vec<(f64, CallTimer)> {
-    let wake = |c: &CallEffect| match c {
-        CallEffect::StartTimer(at, wake) => Some((at.0, wake.clone())),
+/// The timers that the effects start.
+fn timers(effects: &[CallEffect]) -> Vec<(f64, CallTimer)> {
+    let timer = |c: &CallEffect| match c {
+        CallEffect::StartTimer(at, timer) => Some((at.0, timer.clone())),
         _ => None,
     };
-    out.iter().filter_map(wake).collect()
+    effects.iter().filter_map(timer).collect()
 }
 
 #[test]
-fn a_call_stands_and_is_released_once_though_its_exchange_says_so_twice() {
-    let mut core = Core::new();
-    let id = core.standing("a");
-    assert_eq!((core.table.open(), core.table.standing()), (0, 1));
+fn a_call_is_released_once_though_its_exchange_sends_the_release_twice() {
+    let mut harness = Harness::new();
+    let id = harness.established_call("a");
+    assert_eq!((harness.table.open(), harness.table.standing()), (0, 1));
     let release = CallEvent::ExchangeReleased {
         id,
         exchange: ExchangeId(103),
         completed: true,
         report: LoadReport::default(),
     };
-    assert_eq!(nears(&core.put(release.clone())), [CallerCommand::Release { completed: true }]);
-    // An exchange sends its release on the next connection as well: the caller must not get a second one.
-    assert!(core.put(release).is_empty());
-    assert_eq!(core.table.standing(), 0);
+    assert_eq!(
+        caller_commands(&harness.handle(release.clone())),
+        [CallerCommand::Release { completed: true }]
+    );
+    // An exchange repeats its release on the next connection. The caller must not get a second one.
+    assert!(harness.handle(release).is_empty());
+    assert_eq!(harness.table.standing(), 0);
 }
 
 #[test]
-fn what_makes_no_sense_is_turned_down_for_good() {
-    let mut core = Core::new();
-    let fine = core.request("x");
+fn invalid_requests_are_rejected() {
+    let mut harness = Harness::new();
+    let fine = harness.request("x");
     let cases = [
         (Request { class: "none".into(), ..fine.clone() }, RejectReason::UnknownClass),
         (Request { tenant: Some("stranger".into()), ..fine.clone() }, RejectReason::UnknownTenant),
         (Request { dest: ExchangeNumber(77), ..fine }, RejectReason::UnknownDestination),
     ];
     for (request, reject) in cases {
-        assert_eq!(nears(&core.put(CallEvent::Request(request))), [CallerCommand::Reject(reject)]);
+        assert_eq!(
+            caller_commands(&harness.handle(CallEvent::Request(request))),
+            [CallerCommand::Reject(reject)]
+        );
     }
-    assert_eq!(core.table.open(), 0);
+    assert_eq!(harness.table.open(), 0);
 }
 
-/// Guards rule five: after each of these ends 300 ms pass before the next send, whatever the module asks for.
+/// Guards against a set-up that is sent within 300 ms after an attempt ended in a reset, time-out or cancel, whatever
+/// the decision module asks for.
 #[test]
-fn a_reset_attempt_is_followed_by_none_until_the_release_is_over() {
+fn no_attempt_follows_a_reset_one_before_the_release_is_over() {
     for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
-        let mut core = Core::new();
-        let id = core.call("a");
-        core.now += 0.1;
-        let out = core.ended(&id, 0, outcome);
-        assert_eq!((set_ups(&out), nears(&out).len()), (0, 0), "{outcome:?}");
-        let (at, wake) = wakes(&out).pop().expect("the module asks to be woken");
-        assert!(at >= core.now + 0.3, "{outcome:?}");
-        core.now = at;
-        let out = core.put(CallEvent::TimerExpired(wake));
-        assert_eq!(set_ups(&out) + nears(&out).len(), 1, "{outcome:?}: {out:?}");
+        let mut harness = Harness::new();
+        let id = harness.attempted_call("a");
+        harness.now += 0.1;
+        let effects = harness.set_up_failed(&id, 0, outcome);
+        assert_eq!((set_ups(&effects), caller_commands(&effects).len()), (0, 0), "{outcome:?}");
+        let (at, timer) = timers(&effects).pop().expect("the decision module asks for a timer");
+        assert!(at >= harness.now + 0.3, "{outcome:?}");
+        harness.now = at;
+        let effects = harness.handle(CallEvent::TimerExpired(timer));
+        assert_eq!(set_ups(&effects) + caller_commands(&effects).len(), 1, "{outcome:?}: {effects:?}");
     }
 }
 
-/// Guards rule one: an answer that crossed our giving up must not reach the caller, and its call must not be
-/// left standing at the exchange.
+/// Guards against a second final answer, and against a call that is left established at the exchange, when an answer
+/// crosses the cancel of its attempt.
 #[test]
 fn an_answer_that_crosses_a_cancel_is_released_at_the_exchange() {
-    let mut core = Core::new();
-    let id = core.call("a");
+    let mut harness = Harness::new();
+    let id = harness.attempted_call("a");
     assert_eq!(
-        fars(&core.put(CallEvent::CallerGaveUp(id.clone()))),
+        exchange_commands(&harness.handle(CallEvent::CallerGaveUp(id.clone()))),
         [ExchangeCommand::CancelSetUp { leg: 0 }]
     );
-    let (office, description) = (ExchangeId(103), Arc::from(&b""[..]));
-    let out = core.put(CallEvent::Answered { id, exchange: office, leg: Some(0), description });
-    assert_eq!((fars(&out), nears(&out)), (vec![ExchangeCommand::Release { leg: Some(0) }], vec![]));
-    // The other way round: the caller's giving up crosses the answer that it already got.
-    let id = core.standing("b");
-    let out = core.put(CallEvent::CallerGaveUp(id));
-    assert_eq!(fars(&out), [ExchangeCommand::Release { leg: Some(0) }]);
-    assert_eq!(nears(&out), [CallerCommand::Release { completed: false }]);
+    let (exchange_id, description) = (ExchangeId(103), Arc::from(&b""[..]));
+    let effects =
+        harness.handle(CallEvent::Answered { id, exchange: exchange_id, leg: Some(0), description });
+    assert_eq!(
+        (exchange_commands(&effects), caller_commands(&effects)),
+        (vec![ExchangeCommand::Release { leg: Some(0) }], vec![])
+    );
+    // The other way round: the cancel of the caller crosses the answer that it gets.
+    let id = harness.established_call("b");
+    let effects = harness.handle(CallEvent::CallerGaveUp(id));
+    assert_eq!(exchange_commands(&effects), [ExchangeCommand::Release { leg: Some(0) }]);
+    assert_eq!(caller_commands(&effects), [CallerCommand::Release { completed: false }]);
 }
 
-/// Guards rule one: whatever the module does, a caller has its final answer before it stops waiting. The module
-/// hears of the time-out: told only that the caller had left, it learned nothing of a silent exchange.
+/// Guards against a caller that gets no final answer before its deadline, whatever the decision module does. The
+/// module has to receive the time-out of the attempt: when it received only the withdrawal of the call, it learned
+/// nothing about a silent exchange.
 #[test]
-fn the_deadline_brings_a_final_answer_and_calls_the_attempt_off() {
-    let mut core = Core::new();
-    let mut request = core.request("a");
+fn the_deadline_brings_a_final_answer_and_cancels_the_attempt() {
+    let mut harness = Harness::new();
+    let mut request = harness.request("a");
     request.ttl = 0.5;
-    let out = core.put(CallEvent::Request(request));
-    let (at, wake) =
-        wakes(&out).into_iter().find(|(_, w)| matches!(w, CallTimer::Deadline(_))).expect("a deadline");
-    assert!(at < core.now + 0.5);
-    core.now = at;
-    let out = core.put(CallEvent::TimerExpired(wake));
-    assert_eq!(fars(&out), [ExchangeCommand::CancelSetUp { leg: 0 }]);
-    assert!(matches!(nears(&out)[..], [CallerCommand::Refuse(Some(_))]), "{out:?}");
-    assert_eq!(core.table.open(), 0);
-    // One trial call at a time goes to a silent exchange.
-    core.call("trial");
-    let out = core.put(CallEvent::Request(core.request("second")));
-    assert_eq!((set_ups(&out), nears(&out).len()), (0, 1));
+    let effects = harness.handle(CallEvent::Request(request));
+    let (at, timer) =
+        timers(&effects).into_iter().find(|(_, w)| matches!(w, CallTimer::Deadline(_))).expect("a deadline");
+    assert!(at < harness.now + 0.5);
+    harness.now = at;
+    let effects = harness.handle(CallEvent::TimerExpired(timer));
+    assert_eq!(exchange_commands(&effects), [ExchangeCommand::CancelSetUp { leg: 0 }]);
+    assert!(matches!(caller_commands(&effects)[..], [CallerCommand::Refuse(Some(_))]), "{effects:?}");
+    assert_eq!(harness.table.open(), 0);
+    // A silent exchange gets one trial call at a time.
+    harness.attempted_call("trial");
+    let effects = harness.handle(CallEvent::Request(harness.request("second")));
+    assert_eq!((set_ups(&effects), caller_commands(&effects).len()), (0, 1));
 }
 
-/// Guards rule one on the death of an exchange: its standing calls are released, its attempts end as reset.
+/// Guards against calls without a final answer or release after the failure of an exchange: its established calls are
+/// released, and its attempts end as reset.
 #[test]
-fn a_dead_exchange_loses_its_calls_and_only_those() {
-    let mut core = Core::new();
-    core.standing("stands");
-    let out = core.call("out");
-    let cut = core.put(CallEvent::ExchangeDown(ExchangeId(103)));
-    assert_eq!(nears(&cut), [CallerCommand::Release { completed: false }]);
-    assert_eq!((core.table.open(), core.table.standing()), (1, 0));
-    assert!(core.ended(&out, 0, Outcome::Refused).is_empty(), "that attempt is over");
-    // A restart told late must not cut what was set up since.
-    let mut core = Core::new();
-    core.standing("old");
-    let started = Time(core.now + 1.0);
-    core.now += 2.0;
-    core.standing("new");
-    let line = RosterEntry { ready_at: Some(started), ..office(3) };
-    let out = core.put(CallEvent::Roster { full: false, entries: vec![line] });
-    assert_eq!(nears(&out), [CallerCommand::Release { completed: false }]);
-    assert_eq!(core.table.standing(), 1);
+fn the_failure_of_an_exchange_ends_its_calls_and_no_later_ones() {
+    let mut harness = Harness::new();
+    harness.established_call("stands");
+    let id = harness.attempted_call("out");
+    let cut = harness.handle(CallEvent::ExchangeDown(ExchangeId(103)));
+    assert_eq!(caller_commands(&cut), [CallerCommand::Release { completed: false }]);
+    assert_eq!((harness.table.open(), harness.table.standing()), (1, 0));
+    assert!(harness.set_up_failed(&id, 0, Outcome::Refused).is_empty(), "that attempt has ended");
+    // A restart that the roster reports late must not end calls that were set up since.
+    let mut harness = Harness::new();
+    harness.established_call("old");
+    let started = Time(harness.now + 1.0);
+    harness.now += 2.0;
+    harness.established_call("new");
+    let entry = RosterEntry { ready_at: Some(started), ..office(3) };
+    let effects = harness.handle(CallEvent::Roster { full: false, entries: vec![entry] });
+    assert_eq!(caller_commands(&effects), [CallerCommand::Release { completed: false }]);
+    assert_eq!(harness.table.standing(), 1);
 }
 
-/// Guards rule two: one attempt out at a time and four at most, whatever ends them.
+/// Guards against two attempts of one call at the same time, and against more than four in total, whatever ends them.
 #[test]
-fn attempts_are_never_two_at_once_and_four_at_most() {
-    let mut core = Core::new();
-    let mut pending = core.put(CallEvent::Request(core.request("a")));
+fn a_call_has_one_attempt_at_a_time_and_four_at_most() {
+    let mut harness = Harness::new();
+    let mut pending = harness.handle(CallEvent::Request(harness.request("a")));
     let (mut sent, mut finals) = (0, 0);
     for _ in 0..20 {
         assert!(set_ups(&pending) <= 1);
         sent += set_ups(&pending);
-        finals += nears(&pending).len();
+        finals += caller_commands(&pending).len();
         let to = pending.iter().find_map(|c| match c {
-            CallEffect::Exchange(office, id, ExchangeCommand::SetUp(s)) => Some((*office, id.clone(), s.leg)),
+            CallEffect::Exchange(exchange_id, id, ExchangeCommand::SetUp(s)) => {
+                Some((*exchange_id, id.clone(), s.leg))
+            }
             _ => None,
         });
-        let Some((office, id, leg)) = to else { break };
-        core.now += 0.01;
+        let Some((exchange_id, id, leg)) = to else { break };
+        harness.now += 0.01;
         let (outcome, why, report) = (Outcome::Refused, Cause::NoCircuit, LoadReport::default());
-        pending = core.put(CallEvent::SetUpFailed {
+        pending = harness.handle(CallEvent::SetUpFailed {
             id,
-            exchange: office,
+            exchange: exchange_id,
             leg: Some(leg),
             outcome,
             cause: why,
@@ -268,103 +284,110 @@
     assert_eq!(finals, 1);
 }
 
-/// Guards the service: what the administration changes counts from the next request on.
+/// Guards against changes of the administration that do not apply to the next request.
 #[test]
-fn a_tenant_is_held_to_its_limit_and_a_suspended_one_is_turned_down() {
-    let mut core = Core::new();
-    let set = |core: &mut Core, suspended, max_calls| {
+fn a_tenant_over_its_limit_is_refused_and_a_suspended_one_is_rejected() {
+    let mut harness = Harness::new();
+    let set = |harness: &mut Harness, suspended, max_calls| {
         let change =
             Change::Set { name: "acme".into(), suspended: Some(suspended), max_calls: Some(max_calls) };
-        core.table.tenants_mut().apply(&[change]).expect("it is there");
+        harness.table.tenants_mut().apply(&[change]).expect("the tenant exists");
     };
-    set(&mut core, false, Some(1));
-    let id = core.standing("a");
+    set(&mut harness, false, Some(1));
+    let id = harness.established_call("a");
     assert!(matches!(
-        nears(&core.put(CallEvent::Request(core.request("b"))))[..],
+        caller_commands(&harness.handle(CallEvent::Request(harness.request("b"))))[..],
         [CallerCommand::Refuse(Some(_))]
     ));
-    core.put(CallEvent::CallerReleased(id));
-    core.call("c");
-    set(&mut core, true, None);
-    let out = core.put(CallEvent::Request(core.request("d")));
-    assert_eq!(nears(&out), [CallerCommand::Reject(RejectReason::UnknownTenant)]);
-    let (_, counts) = core.table.tenants().list().remove(0);
+    harness.handle(CallEvent::CallerReleased(id));
+    harness.attempted_call("c");
+    set(&mut harness, true, None);
+    let effects = harness.handle(CallEvent::Request(harness.request("d")));
+    assert_eq!(caller_commands(&effects), [CallerCommand::Reject(RejectReason::UnknownTenant)]);
+    let (_, counts) = harness.table.tenants().list().remove(0);
     assert_eq!(
         (counts.taken, counts.stood, counts.refused, counts.rejected, counts.present),
         (2, 1, 1, 1, 1)
     );
 }
 
-/// Guards memory on days when exchanges are replaced all the time: every id that ever was stayed in four maps.
+/// Guards against growing memory while exchanges are replaced all the time: each id that was ever listed stayed in
+/// four maps.
 #[test]
-fn exchanges_that_are_gone_are_forgotten() {
-    let mut core = Core::new();
+fn removed_exchanges_leave_no_entries() {
+    let mut harness = Harness::new();
     for n in 0..1000 {
         let fresh = RosterEntry { id: ExchangeId(1000 + n), ..office(3) };
-        core.put(CallEvent::Roster { full: false, entries: vec![fresh.clone()] });
-        core.put(CallEvent::Status { exchange: fresh.id, report: LoadReport::default() });
+        harness.handle(CallEvent::Roster { full: false, entries: vec![fresh.clone()] });
+        harness.handle(CallEvent::Status { exchange: fresh.id, report: LoadReport::default() });
         let gone = RosterEntry { state: ServiceState::Removed, ..fresh };
-        core.put(CallEvent::Roster { full: false, entries: vec![gone.clone()] });
-        core.put(CallEvent::Status { exchange: gone.id, report: LoadReport::default() });
+        harness.handle(CallEvent::Roster { full: false, entries: vec![gone.clone()] });
+        harness.handle(CallEvent::Status { exchange: gone.id, report: LoadReport::default() });
     }
-    assert_eq!(core.table.exchanges(), 5);
+    assert_eq!(harness.table.exchanges(), 5);
 }
 
-/// Guards memory: records of calls are bounded in bytes, and what goes beyond is refused in words. A call that stands
-/// holds its caller's description no longer.
+/// Guards against call records without a bound on their bytes: requests beyond the limit are refused. The record of
+/// an established call no longer contains the caller's description.
 #[test]
-fn records_of_calls_are_bounded_and_a_call_that_stands_holds_less() {
-    let mut core = Core::new();
-    core.table.limit_bytes(40_000);
-    let long =
-        |core: &Core, id: &str| Request { description: Arc::from(vec![0; 14_000]), ..core.request(id) };
-    let first = core.put(CallEvent::Request(long(&core, "a")));
-    let second = core.put(CallEvent::Request(long(&core, "b")));
-    assert!(nears(&first).is_empty() && nears(&second).is_empty(), "both are under way");
-    let held = core.table.held_bytes();
-    let third = core.put(CallEvent::Request(long(&core, "c")));
-    assert!(matches!(nears(&third)[..], [CallerCommand::Refuse(Some(_))]));
-    assert_eq!(core.table.held_bytes(), held);
-    let id = core.standing("d");
-    assert!(core.table.held_bytes() < held + 5_000, "{held}, then {}", core.table.held_bytes());
-    core.put(CallEvent::CallerReleased(id));
-    core.put(CallEvent::CallerGaveUp(CallId("a".into())));
-    core.put(CallEvent::CallerGaveUp(CallId("b".into())));
-    assert_eq!(core.table.held_bytes(), 0);
+fn call_records_are_bounded_and_that_of_an_established_call_is_smaller() {
+    let mut harness = Harness::new();
+    harness.table.limit_bytes(40_000);
+    let long = |harness: &Harness, id: &str| Request {
+        description: Arc::from(vec![0; 14_000]),
+        ..harness.request(id)
+    };
+    let first = harness.handle(CallEvent::Request(long(&harness, "a")));
+    let second = harness.handle(CallEvent::Request(long(&harness, "b")));
+    assert!(
+        caller_commands(&first).is_empty() && caller_commands(&second).is_empty(),
+        "both calls are waiting"
+    );
+    let bytes = harness.table.held_bytes();
+    let third = harness.handle(CallEvent::Request(long(&harness, "c")));
+    assert!(matches!(caller_commands(&third)[..], [CallerCommand::Refuse(Some(_))]));
+    assert_eq!(harness.table.held_bytes(), bytes);
+    let id = harness.established_call("d");
+    assert!(harness.table.held_bytes() < bytes + 5_000, "{bytes}, then {}", harness.table.held_bytes());
+    harness.handle(CallEvent::CallerReleased(id));
+    harness.handle(CallEvent::CallerGaveUp(CallId("a".into())));
+    harness.handle(CallEvent::CallerGaveUp(CallId("b".into())));
+    assert_eq!(harness.table.held_bytes(), 0);
 }
 
-/// Guards a shutdown: what is new is refused, what waits is refused before the kill, what stands is left alone.
+/// Guards against a shutdown that leaves callers without a final answer or ends established calls: new requests are
+/// refused, waiting ones are refused before the kill, and established calls continue.
 #[test]
-fn a_table_that_is_about_to_end_refuses_what_is_new_and_what_waits() {
-    let mut core = Core::new();
-    core.standing("stands");
-    core.call("waits");
-    core.table.stop_admitting();
-    let out = core.put(CallEvent::Request(core.request("new")));
-    assert!(matches!(nears(&out)[..], [CallerCommand::Refuse(Some(_))]));
-    let mut out = Vec::new();
-    core.table.refuse_open(&mut out);
-    assert!(matches!(nears(&out)[..], [CallerCommand::Refuse(Some(_))]));
+fn a_table_that_shuts_down_refuses_new_and_waiting_calls_only() {
+    let mut harness = Harness::new();
+    harness.established_call("stands");
+    harness.attempted_call("waits");
+    harness.table.stop_admitting();
+    let effects = harness.handle(CallEvent::Request(harness.request("new")));
+    assert!(matches!(caller_commands(&effects)[..], [CallerCommand::Refuse(Some(_))]));
+    let mut effects = Vec::new();
+    harness.table.refuse_open(&mut effects);
+    assert!(matches!(caller_commands(&effects)[..], [CallerCommand::Refuse(Some(_))]));
     assert!(
-        out.iter().any(|c| matches!(c, CallEffect::Exchange(_, _, ExchangeCommand::CancelSetUp { .. }))),
-        "its set-up is called off"
+        effects.iter().any(|c| matches!(c, CallEffect::Exchange(_, _, ExchangeCommand::CancelSetUp { .. }))),
+        "its set-up is cancelled"
     );
-    assert_eq!((core.table.open(), core.table.standing()), (0, 1));
+    assert_eq!((harness.table.open(), harness.table.standing()), (0, 1));
 }
 
-/// Guards routes over what is no longer told: a group whose state is old is not held to be full.
+/// Guards against a trunk group that is taken to be full on the strength of a state that is no longer updated.
 #[test]
-fn a_group_whose_state_is_not_told_any_longer_is_tried() {
-    let mut core = Core::new();
+fn a_trunk_group_whose_state_is_no_longer_updated_is_tried() {
+    let mut harness = Harness::new();
     let full = LoadReport { free_circuits: Some(0.0), group_size: Some(30.0), ..LoadReport::default() };
-    (1..5).for_each(|n| drop(core.put(CallEvent::Status { exchange: office(n).id, report: full })));
+    (1..5).for_each(|n| drop(harness.handle(CallEvent::Status { exchange: office(n).id, report: full })));
     assert!(matches!(
-        nears(&core.put(CallEvent::Request(core.request("a"))))[..],
+        caller_commands(&harness.handle(CallEvent::Request(harness.request("a"))))[..],
         [CallerCommand::Refuse(_)]
     ));
-    core.put(CallEvent::StatusLost(office(3).id));
-    let out = core.put(CallEvent::Request(core.request("b")));
-    assert!(out
+    harness.handle(CallEvent::StatusLost(office(3).id));
+    let effects = harness.handle(CallEvent::Request(harness.request("b")));
+    assert!(effects
         .iter()
         .any(|c| matches!(c, CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)) if *to == office(3).id)));
 }
