--- a/crates/lab/src/proxy/shipped.rs
+++ b/crates/lab/src/proxy/shipped.rs
@@ -32,7 +32,7 @@
         let tenant =
             |t: &crate::day::TenantDay| Tenant { name: t.name.clone(), suspended: false, max_calls: None };
         let tenants = Tenants::new(day.tenants.iter().map(tenant));
-        let table = Table::tuned(day.settings(proxy), self.tuning.clone(), tenants, seed, now);
+        let table = Table::with_tuning(day.settings(proxy), self.tuning.clone(), tenants, seed, now);
         self.tables[proxy] = Some(table);
         Ok(())
     }
--- a/src/calls/table.rs
+++ b/src/calls/table.rs
@@ -81,19 +81,19 @@
     /// The proxy is shutting down: new requests are refused.
     shutting_down: bool,
     /// Bytes that the records of calls occupy.
-    held_bytes: usize,
-    /// Maximum of `held_bytes`.
+    bytes_in_use: usize,
+    /// Maximum of `bytes_in_use`.
     max_bytes: usize,
 }
 
 impl Table {
     /// Creates a table without calls.
     pub fn new(settings: Settings, tenants: Tenants, seed: u64, now: Time) -> Self {
-        Self::tuned(settings, Tuning::default(), tenants, seed, now)
+        Self::with_tuning(settings, Tuning::default(), tenants, seed, now)
     }
 
     /// Creates a table without calls whose decision module uses the given tuning.
-    pub fn tuned(settings: Settings, tuning: Tuning, tenants: Tenants, seed: u64, now: Time) -> Self {
+    pub fn with_tuning(settings: Settings, tuning: Tuning, tenants: Tenants, seed: u64, now: Time) -> Self {
         let mut controller = Controller::with_tuning(settings.clone(), tuning, seed);
         // Rosters and states arrive unprompted, so the actions that the controller asks for at its start are dropped.
         controller.start(now, &mut Vec::new());
@@ -109,19 +109,19 @@
             status_received: BTreeSet::new(),
             actions: Vec::new(),
             shutting_down: false,
-            held_bytes: 0,
+            bytes_in_use: 0,
             max_bytes: usize::MAX,
         }
     }
 
     /// Sets the maximum number of bytes of the call records. Requests beyond it are refused.
-    pub fn limit_bytes(&mut self, limit: usize) {
+    pub fn set_max_bytes(&mut self, limit: usize) {
         self.max_bytes = limit;
     }
 
     /// Bytes that the records of calls occupy.
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    pub fn bytes_in_use(&self) -> usize {
+        self.bytes_in_use
     }
 
     /// Refuses every new request from now on. Waiting and established calls continue.
@@ -130,11 +130,11 @@
     }
 
     /// Refuses every call that waits for a final answer, as the proxy is about to be killed.
-    pub fn refuse_open(&mut self, effects: &mut Vec<CallEffect>) {
-        let open = self.calls.iter().filter(|(_, c)| !matches!(c.stage, Stage::Established { .. }));
-        let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
+    pub fn refuse_waiting(&mut self, effects: &mut Vec<CallEffect>) {
+        let waiting = self.calls.iter().filter(|(_, c)| !matches!(c.stage, Stage::Established { .. }));
+        let waiting: Vec<CallId> = waiting.map(|(id, _)| id.clone()).collect();
         let cool_down = self.default_cool_down();
-        for id in open {
+        for id in waiting {
             self.give_final_answer(id, CallerCommand::Refuse(cool_down), "shutting down", effects);
         }
     }
@@ -157,7 +157,7 @@
     /// Removes a call and updates the counters of its tenant.
     fn remove_call(&mut self, id: &CallId, count: impl FnOnce(&mut Counts)) -> Option<Call> {
         let call = self.calls.remove(id)?;
-        self.held_bytes = self.held_bytes.saturating_sub(call.record_bytes());
+        self.bytes_in_use = self.bytes_in_use.saturating_sub(call.record_bytes());
         self.tenants.count(call.tenant.as_ref(), |counts| {
             counts.present = counts.present.saturating_sub(1);
             count(counts);
@@ -166,13 +166,13 @@
     }
 
     /// Number of calls that wait for a final answer.
-    pub fn open(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.calls.values().filter(|c| !matches!(c.stage, Stage::Established { .. })).count()
     }
 
     /// Number of established calls.
-    pub fn standing(&self) -> usize {
-        self.calls.len() - self.open()
+    pub fn established_count(&self) -> usize {
+        self.calls.len() - self.waiting_count()
     }
 
     /// Whether the roster has arrived, and the state of the trunk group to every exchange in service on it.
@@ -251,7 +251,7 @@
             Some("shutting down")
         } else if self.tenants.is_full(tenant.as_ref()) {
             Some("tenant full")
-        } else if self.held_bytes + RECORD_BYTES + request.description.len() > self.max_bytes {
+        } else if self.bytes_in_use + RECORD_BYTES + request.description.len() > self.max_bytes {
             Some("memory")
         } else {
             None
@@ -284,7 +284,7 @@
             stage: Stage::NoAttempt,
         };
         effects.push(CallEffect::StartTimer(call.deadline, CallTimer::Deadline(id.clone())));
-        self.held_bytes += call.record_bytes();
+        self.bytes_in_use += call.record_bytes();
         self.calls.insert(id, call);
         let arrival = Arrival {
             id: request.id,
@@ -379,7 +379,7 @@
                 Stage::Attempting { exchange_id: o, leg, sent } if matches(o, leg) => {
                     call.stage = Stage::Established { exchange_id, leg, sent };
                     // The description is not needed any longer, as no attempt follows.
-                    self.held_bytes = self.held_bytes.saturating_sub(call.description.len());
+                    self.bytes_in_use = self.bytes_in_use.saturating_sub(call.description.len());
                     call.description = Arc::from([]);
                     self.tenants.count(call.tenant.as_ref(), |counts| counts.stood += 1);
                     tracing::debug!(call = id.0, office = o.0, attempt = leg, "call established");
@@ -559,7 +559,7 @@
     }
 
     /// Largest number of exchanges in any of the maps by exchange, as a check on their memory.
-    pub fn exchanges(&self) -> usize {
+    pub fn exchange_entries(&self) -> usize {
         [
             self.roster.len(),
             self.unavailable_since.len(),
--- a/src/capture/replay.rs
+++ b/src/capture/replay.rs
@@ -40,7 +40,7 @@
             (EntryKind::Start(start), _) => {
                 let tenants = Tenants::new(start.tenants.iter().cloned());
                 let (settings, tuning) = (start.settings.clone(), start.tuning.clone());
-                table = Some(Table::tuned(settings, tuning, tenants, start.seed, entry.at));
+                table = Some(Table::with_tuning(settings, tuning, tenants, start.seed, entry.at));
             }
             // The missing entries may have changed the state of the table.
             (EntryKind::Gap(dropped), _) => {
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -125,7 +125,11 @@
                 }
                 EngineMail::Patience => patient = false,
                 EngineMail::Drain => {
-                    tracing::info!(open = self.table.open(), standing = self.table.standing(), "draining");
+                    tracing::info!(
+                        open = self.table.waiting_count(),
+                        standing = self.table.established_count(),
+                        "draining"
+                    );
                     drain_at = drain_at.or(Some(now));
                     let begun = *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
                     if let Some(platform) = self.platform.clone() {
@@ -137,7 +141,10 @@
                 }
                 EngineMail::Look => {
                     let waited = drain_at.is_some_and(|at| now - at >= LINGER);
-                    if waited && callers_left && self.table.open() + self.table.standing() == 0 {
+                    if waited
+                        && callers_left
+                        && self.table.waiting_count() + self.table.established_count() == 0
+                    {
                         tracing::info!(counters = telemetry::summary(), "drained");
                         return;
                     }
@@ -145,13 +152,13 @@
                         self.table.stop_admitting();
                     }
                     if shutdown.is_some_and(|s| s.must_refuse_open(now)) {
-                        self.table.refuse_open(&mut commands);
+                        self.table.refuse_waiting(&mut commands);
                     }
                     self.later(LOOK, || EngineMail::Look);
                 }
                 EngineMail::CallersLeft => callers_left = true,
                 EngineMail::Summary => {
-                    telemetry::set_call_record_bytes(self.table.held_bytes());
+                    telemetry::set_call_record_bytes(self.table.bytes_in_use());
                     tracing::info!(counters = telemetry::summary(), "counters since the start");
                     self.later(SUMMARY, || EngineMail::Summary);
                 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -237,7 +237,7 @@
         let own = config.settings.own_exchange;
         let longest_deadline = config.settings.classes.iter().map(|c| c.give_up_after).fold(0.0, f64::max);
         let mut table = Table::new(config.settings, Tenants::new(config.tenants), config.seed, clock.now());
-        table.limit_bytes(memory.calls);
+        table.set_max_bytes(memory.calls);
         let module = engine::Engine {
             table,
             clock,
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -130,7 +130,7 @@
 fn a_call_is_released_once_though_its_exchange_sends_the_release_twice() {
     let mut harness = Harness::new();
     let id = harness.established_call("a");
-    assert_eq!((harness.table.open(), harness.table.standing()), (0, 1));
+    assert_eq!((harness.table.waiting_count(), harness.table.established_count()), (0, 1));
     let release = CallEvent::ExchangeReleased {
         id,
         exchange: ExchangeId(103),
@@ -143,7 +143,7 @@
     );
     // An exchange repeats its release on the next connection. The caller must not get a second one.
     assert!(harness.handle(release).is_empty());
-    assert_eq!(harness.table.standing(), 0);
+    assert_eq!(harness.table.established_count(), 0);
 }
 
 #[test]
@@ -161,7 +161,7 @@
             [CallerCommand::Reject(reject)]
         );
     }
-    assert_eq!(harness.table.open(), 0);
+    assert_eq!(harness.table.waiting_count(), 0);
 }
 
 /// Guards against a set-up that is sent within 300 ms after an attempt ended in a reset, time-out or cancel, whatever
@@ -222,7 +222,7 @@
     let effects = harness.handle(CallEvent::TimerExpired(timer));
     assert_eq!(exchange_commands(&effects), [ExchangeCommand::CancelSetUp { leg: 0 }]);
     assert!(matches!(caller_commands(&effects)[..], [CallerCommand::Refuse(Some(_))]), "{effects:?}");
-    assert_eq!(harness.table.open(), 0);
+    assert_eq!(harness.table.waiting_count(), 0);
     // A silent exchange gets one trial call at a time.
     harness.attempted_call("trial");
     let effects = harness.handle(CallEvent::Request(harness.request("second")));
@@ -238,7 +238,7 @@
     let id = harness.attempted_call("out");
     let cut = harness.handle(CallEvent::ExchangeDown(ExchangeId(103)));
     assert_eq!(caller_commands(&cut), [CallerCommand::Release { completed: false }]);
-    assert_eq!((harness.table.open(), harness.table.standing()), (1, 0));
+    assert_eq!((harness.table.waiting_count(), harness.table.established_count()), (1, 0));
     assert!(harness.set_up_failed(&id, 0, Outcome::Refused).is_empty(), "that attempt has ended");
     // A restart that the roster reports late must not end calls that were set up since.
     let mut harness = Harness::new();
@@ -249,7 +249,7 @@
     let entry = RosterEntry { ready_at: Some(started), ..office(3) };
     let effects = harness.handle(CallEvent::Roster { full: false, entries: vec![entry] });
     assert_eq!(caller_commands(&effects), [CallerCommand::Release { completed: false }]);
-    assert_eq!(harness.table.standing(), 1);
+    assert_eq!(harness.table.established_count(), 1);
 }
 
 /// Guards against two attempts of one call at the same time, and against more than four in total, whatever ends them.
@@ -324,7 +324,7 @@
         harness.handle(CallEvent::Roster { full: false, entries: vec![gone.clone()] });
         harness.handle(CallEvent::Status { exchange: gone.id, report: LoadReport::default() });
     }
-    assert_eq!(harness.table.exchanges(), 5);
+    assert_eq!(harness.table.exchange_entries(), 5);
 }
 
 /// Guards against call records without a bound on their bytes: requests beyond the limit are refused. The record of
@@ -332,7 +332,7 @@
 #[test]
 fn call_records_are_bounded_and_that_of_an_established_call_is_smaller() {
     let mut harness = Harness::new();
-    harness.table.limit_bytes(40_000);
+    harness.table.set_max_bytes(40_000);
     let long = |harness: &Harness, id: &str| Request {
         description: Arc::from(vec![0; 14_000]),
         ..harness.request(id)
@@ -343,16 +343,16 @@
         caller_commands(&first).is_empty() && caller_commands(&second).is_empty(),
         "both calls are waiting"
     );
-    let bytes = harness.table.held_bytes();
+    let bytes = harness.table.bytes_in_use();
     let third = harness.handle(CallEvent::Request(long(&harness, "c")));
     assert!(matches!(caller_commands(&third)[..], [CallerCommand::Refuse(Some(_))]));
-    assert_eq!(harness.table.held_bytes(), bytes);
+    assert_eq!(harness.table.bytes_in_use(), bytes);
     let id = harness.established_call("d");
-    assert!(harness.table.held_bytes() < bytes + 5_000, "{bytes}, then {}", harness.table.held_bytes());
+    assert!(harness.table.bytes_in_use() < bytes + 5_000, "{bytes}, then {}", harness.table.bytes_in_use());
     harness.handle(CallEvent::CallerReleased(id));
     harness.handle(CallEvent::CallerGaveUp(CallId("a".into())));
     harness.handle(CallEvent::CallerGaveUp(CallId("b".into())));
-    assert_eq!(harness.table.held_bytes(), 0);
+    assert_eq!(harness.table.bytes_in_use(), 0);
 }
 
 /// Guards against a shutdown that leaves callers without a final answer or ends established calls: new requests are
@@ -366,13 +366,13 @@
     let effects = harness.handle(CallEvent::Request(harness.request("new")));
     assert!(matches!(caller_commands(&effects)[..], [CallerCommand::Refuse(Some(_))]));
     let mut effects = Vec::new();
-    harness.table.refuse_open(&mut effects);
+    harness.table.refuse_waiting(&mut effects);
     assert!(matches!(caller_commands(&effects)[..], [CallerCommand::Refuse(Some(_))]));
     assert!(
         effects.iter().any(|c| matches!(c, CallEffect::Exchange(_, _, ExchangeCommand::CancelSetUp { .. }))),
         "its set-up is cancelled"
     );
-    assert_eq!((harness.table.open(), harness.table.standing()), (0, 1));
+    assert_eq!((harness.table.waiting_count(), harness.table.established_count()), (0, 1));
 }
 
 /// Guards against a trunk group that is taken to be full on the strength of a state that is no longer updated.
