--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -128,7 +128,7 @@
 /// What a timer is for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallTimer {
-    /// The time limit of an attempt, given by its number.
+    /// The time limit of an attempt, which its number identifies.
     AttemptTimeout(CallId, u32),
     /// The latest time for the final answer.
     Deadline(CallId),
@@ -210,7 +210,7 @@
     Caller(Front, CallId, CallerCommand),
     /// Sends a message to an exchange.
     Exchange(ExchangeId, CallId, ExchangeCommand),
-    /// Starts a timer that expires at this time.
+    /// Starts a timer that expires at the given time.
     StartTimer(Time, CallTimer),
     /// Writes a line to the log.
     Log(String),
--- a/src/recovery/shutdown.rs
+++ b/src/recovery/shutdown.rs
@@ -8,16 +8,16 @@
 
 use crate::interface::{Secs, Time};
 
-/// Time after SIGTERM during which new set-ups are still served.
+/// Seconds after SIGTERM during which new set-ups are still served.
 const SERVING_PERIOD: Secs = 0.7;
-/// Upper bound of the deadline that the platform waits for before SIGKILL.
+/// Upper bound, in seconds, of the deadline that the platform waits for before SIGKILL.
 const LONGEST_DEADLINE: Secs = 3.0;
-/// Open set-ups are refused this long before the earliest SIGKILL, so that their callers get a final answer.
+/// Open set-ups are refused this many seconds before the earliest SIGKILL, so that their callers get a final answer.
 const REFUSE_BEFORE_KILL: Secs = 0.15;
-/// Minimum time from SIGTERM to the exit: callers that are about to connect still reach the proxy.
+/// Minimum time in seconds from SIGTERM to the exit: callers that are about to connect still reach the proxy.
 const MIN_SHUTDOWN: Secs = 1.0;
-/// Minimum time from the close of the last connection to the exit: a caller whose set-up crossed the close sends it
-/// again on a new connection.
+/// Minimum time in seconds from the close of the last connection to the exit: a caller whose set-up crossed the close
+/// sends it again on a new connection.
 const RECONNECT_PERIOD: Secs = 0.2;
 
 /// A shutdown in progress.
