--- a/src/admin/http.rs
+++ b/src/admin/http.rs
@@ -11,7 +11,7 @@
 
 use super::{Store, StoreError};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::{or_late, Tasks};
+use crate::net::{with_timeout, Tasks};
 
 const MOST_HEAD: usize = 8 * 1024;
 const MOST_BODY: usize = 64 * 1024;
@@ -325,7 +325,7 @@
                 (response, request.close)
             }
             Ok(None) => {
-                let n = or_late(IDLE, stream.read(&mut piece)).await?;
+                let n = with_timeout(IDLE, stream.read(&mut piece)).await?;
                 if n == 0 {
                     return Ok(());
                 }
@@ -335,7 +335,7 @@
             // Where it ends is not known.
             Err(response) => (response, true),
         };
-        or_late(IDLE, stream.write_all(&bytes(&response, close))).await?;
+        with_timeout(IDLE, stream.write_all(&bytes(&response, close))).await?;
         if close {
             return Ok(());
         }
--- a/src/admin/netconf.rs
+++ b/src/admin/netconf.rs
@@ -17,7 +17,7 @@
 use super::xml::{self, Element};
 use super::{Store, StoreError};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::{or_late, Tasks};
+use crate::net::{with_timeout, Tasks};
 
 /// The namespace of NETCONF.
 pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
@@ -395,7 +395,7 @@
     }
 
     async fn session(&self, id: u32, stream: TcpStream, sessions: &Sessions) -> std::io::Result<()> {
-        let mut stream = or_late(HANDSHAKE, TlsAcceptor::from(self.tls.clone()).accept(stream)).await?;
+        let mut stream = with_timeout(HANDSHAKE, TlsAcceptor::from(self.tls.clone()).accept(stream)).await?;
         let shown = stream.get_ref().1.peer_certificates().and_then(|chain| chain.first()).cloned();
         let client = self.clients.iter().find(|c| Some(&c.certificate) == shown.as_ref());
         let Some(client) = client else {
@@ -439,7 +439,7 @@
     let mut framer = Framer::default();
     stream.write_all(&framer.frame(&hello(id))).await?;
     stream.flush().await?;
-    let Some(theirs) = or_late(HANDSHAKE, next(stream, &mut framer)).await? else { return Ok(()) };
+    let Some(theirs) = with_timeout(HANDSHAKE, next(stream, &mut framer)).await? else { return Ok(()) };
     let theirs = xml::read(&theirs).map_err(std::io::Error::other)?;
     let known = |wanted: &str| {
         let list = theirs.child("capabilities").map_or(&[][..], |list| &list.children);
--- a/src/net/bulletin.rs
+++ b/src/net/bulletin.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 
 use super::engine::EngineMail;
-use super::{or_late, post};
+use super::{post, with_timeout};
 use crate::interface::*;
 use crate::telemetry;
 
@@ -236,8 +236,8 @@
     pass_over: bool,
 ) -> End {
     let asked = async {
-        let mut stream = or_late(SILENCE, TcpStream::connect(addr)).await?;
-        or_late(SILENCE, stream.write_all(format!("after {}\n", list.last).as_bytes())).await?;
+        let mut stream = with_timeout(SILENCE, TcpStream::connect(addr)).await?;
+        with_timeout(SILENCE, stream.write_all(format!("after {}\n", list.last).as_bytes())).await?;
         Ok(stream)
     };
     let mut stream = match or_moved(sources, asked).await {
@@ -250,7 +250,7 @@
     let mut heard = Instant::now();
     loop {
         let left = SILENCE.saturating_sub(heard.elapsed());
-        match or_moved(sources, or_late(left, stream.read(&mut bytes))).await {
+        match or_moved(sources, with_timeout(left, stream.read(&mut bytes))).await {
             Ok(0) => return End::Lost(io::ErrorKind::UnexpectedEof.into()),
             Ok(n) => held.extend_from_slice(&bytes[..n]),
             Err(end) => return end,
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -16,7 +16,7 @@
 use smol::net::TcpStream;
 use smol::{future, Async};
 
-use super::{or_late, post_when_calm, Tasks};
+use super::{post_with_backpressure, with_timeout, Tasks};
 use crate::limits::memory::{slowest, Queue};
 use crate::sip::message::{Framer, Lost, Malformed, Message};
 use crate::telemetry;
@@ -216,7 +216,7 @@
             }
             continue;
         }
-        let written = or_late(WRITE_LIMIT, stream.write_all(&bytes)).await;
+        let written = with_timeout(WRITE_LIMIT, stream.write_all(&bytes)).await;
         outboxes.count(&outbox, 0, bytes.len());
         if written.is_err() {
             let waiting = std::mem::take(&mut *outbox.waiting.borrow_mut()).len();
@@ -247,7 +247,7 @@
             None => reading.await,
             Some(since) => {
                 let left = whole_within.saturating_sub(Instant::elapsed(&since));
-                or_late(left, reading).await
+                with_timeout(left, reading).await
             }
         };
         match got {
@@ -260,7 +260,7 @@
             match framer.pull() {
                 Ok(Some(message)) => {
                     since = None;
-                    if !post_when_calm(&mailbox, wrap(Heard::Message(message))).await {
+                    if !post_with_backpressure(&mailbox, wrap(Heard::Message(message))).await {
                         return;
                     }
                     // Whoever sends much at a time takes turns with all others.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -37,13 +37,13 @@
 
 /// Mails beyond which whoever brings more from outside waits. Mailboxes have no other bound: they cost what they hold,
 /// and nothing that is owed can be lost in a full one.
-const BACKLOG: usize = 64;
-const BACK_OFF: Duration = Duration::from_millis(2);
+const BACKPRESSURE_THRESHOLD: usize = 64;
+const BACKPRESSURE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Hands something from outside to an actor once it has caught up; returns whether the actor is there.
-pub(crate) async fn post_when_calm<M>(mailbox: &Sender<M>, mail: M) -> bool {
-    while mailbox.len() >= BACKLOG {
-        Timer::after(BACK_OFF).await;
+pub(crate) async fn post_with_backpressure<M>(mailbox: &Sender<M>, mail: M) -> bool {
+    while mailbox.len() >= BACKPRESSURE_THRESHOLD {
+        Timer::after(BACKPRESSURE_POLL_INTERVAL).await;
     }
     mailbox.send(mail).await.is_ok()
 }
@@ -54,7 +54,10 @@
 }
 
 /// Does something, or gives up after a time.
-pub(crate) async fn or_late<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub(crate) async fn with_timeout<T>(
+    limit: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     let late = async {
         Timer::after(limit).await;
         Err(io::ErrorKind::TimedOut.into())
@@ -108,12 +111,12 @@
     }
 
     /// Something to be sent to tell the program to drain and end, as SIGTERM does.
-    pub fn stopper(&self) -> Sender<()> {
+    pub fn shutdown_sender(&self) -> Sender<()> {
         self.stop.0.clone()
     }
 
     /// Something to be sent to tell the program to read its configuration again, as SIGHUP does.
-    pub fn reloader(&self) -> Sender<()> {
+    pub fn reload_sender(&self) -> Sender<()> {
         self.reload.0.clone()
     }
 
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -4,14 +4,14 @@
 
 use smol::net::TcpStream;
 
-use super::{Connection, Peer, PeerMail, CONNECTIONS};
+use super::{Connection, Peer, PeerMail, MAX_CONNECTIONS};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
 use crate::membership::liveness::Ending;
 use crate::net::conn::Conn;
-use crate::net::or_late;
 use crate::net::permits::{Answer, Permit};
+use crate::net::with_timeout;
 use crate::telemetry;
 
 /// Between two tries to connect.
@@ -30,7 +30,7 @@
     pub(super) fn connect(&mut self) {
         while !self.retrying && self.condition == ServiceState::InService {
             let there = self.connections.len() + self.connecting;
-            if there >= CONNECTIONS {
+            if there >= MAX_CONNECTIONS {
                 return;
             }
             let needed = !self.waiting.is_empty() || self.liveness.calls() > 0;
@@ -60,7 +60,7 @@
         let (addr, mailbox) = (self.addr, self.own_mailbox.clone());
         let limit = Duration::from_secs_f64(self.shared.connect_timeout.max(0.001));
         let connect = async move {
-            let got = or_late(limit, TcpStream::connect(addr)).await;
+            let got = with_timeout(limit, TcpStream::connect(addr)).await;
             let _ = mailbox.send(PeerMail::Connected(got, permit)).await;
         };
         self.shared.tasks.spawn(connect).detach();
@@ -171,7 +171,7 @@
 
     /// Closes the connection that has been quiet the longest, where there are more than are wanted.
     pub(super) fn finish_surplus(&mut self, keep: u64) {
-        if self.connections.len() > CONNECTIONS && self.verifying.is_none() {
+        if self.connections.len() > MAX_CONNECTIONS && self.verifying.is_none() {
             if let Some(no) = self.quietest(Some(keep)) {
                 self.finish(no, RETIRING);
             }
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -26,7 +26,7 @@
 use crate::sip::message::Message;
 
 /// Connections to one exchange at best: what spoils one ends only the set-ups on it. States come on four at most.
-pub const CONNECTIONS: usize = BEST;
+pub const MAX_CONNECTIONS: usize = BEST;
 
 /// What the actor is told.
 #[derive(Debug)]
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -13,7 +13,7 @@
 use super::conn::{Conn, Heard, Outboxes, Over};
 use super::engine::EngineMail;
 use super::permits::Permits;
-use super::{post, post_when_calm, Tasks};
+use super::{post, post_with_backpressure, Tasks};
 use crate::calls::{CallEvent, CallerCommand, Front, RejectReason, Request};
 use crate::interface::*;
 use crate::limits::memory::WaitingReleases;
@@ -143,7 +143,9 @@
         };
         let accepted = async { Some(listener.accept().await) };
         match future::or(stopped, accepted).await {
-            Some(Ok((stream, _))) => drop(post_when_calm(&mailbox, FrontMail::Accepted(stream)).await),
+            Some(Ok((stream, _))) => {
+                drop(post_with_backpressure(&mailbox, FrontMail::Accepted(stream)).await)
+            }
             Some(Err(error)) => {
                 telemetry::accept_failed();
                 tracing::warn!(%error, "no connection could be accepted: an idle one makes room");
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -13,7 +13,7 @@
 use super::clock::{Alarms, Clock, Due};
 use super::conn::{Conn, Heard, Outboxes, Over};
 use super::engine::EngineMail;
-use super::{or_late, post, Tasks};
+use super::{post, with_timeout, Tasks};
 use crate::calls::{CallerCommand, ExchangeCommand};
 use crate::interface::*;
 use crate::sip::agent::{Agent, Alarm, Output, Setup};
@@ -269,7 +269,7 @@
         let mailbox = self.front.mailbox.clone();
         let limit = Duration::from_secs_f64(self.front.connect_timeout);
         let connect = async move {
-            let got = or_late(limit, TcpStream::connect(addr)).await;
+            let got = with_timeout(limit, TcpStream::connect(addr)).await;
             post(&mailbox, SipMail::Connected(addr, got)).await;
         };
         self.front.tasks.spawn(connect).detach();
--- a/tests/platform_loopback.rs
+++ b/tests/platform_loopback.rs
@@ -10,7 +10,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use mallowring::config::Config;
-use mallowring::net::{peer::CONNECTIONS, Node};
+use mallowring::net::{peer::MAX_CONNECTIONS, Node};
 use mallowring::sip::header::Transport;
 use mallowring::sip::message::Message;
 use serde_json::{json, Value};
@@ -47,7 +47,7 @@
         });
         stream
     };
-    Peer { lines: (0..CONNECTIONS).map(take).collect(), heard, last: 0 }
+    Peer { lines: (0..MAX_CONNECTIONS).map(take).collect(), heard, last: 0 }
 }
 
 impl Peer {
@@ -127,7 +127,7 @@
         let env = BTreeMap::from([("NODE_CONFIG".to_owned(), path.display().to_string())]);
         let node = Node::bind(Config::read(&env).expect("fine")).expect("sockets");
         let (proxy, stop, reload) =
-            (node.platform_addr().expect("it is on"), node.stopper(), node.reloader());
+            (node.platform_addr().expect("it is on"), node.shutdown_sender(), node.reload_sender());
         let thread = Some(thread::spawn(|| node.run()));
         Bench { proxy, stop, thread, exchange, bulletin, reload, config, path }
     }
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -50,7 +50,7 @@
         let config = Config::read(&env);
         std::fs::remove_file(&path).expect("the file is there");
         let node = Node::bind(config.expect("settings that can be read")).expect("sockets");
-        let (addr, stop) = (node.sip_addr().expect("the SIP front is on"), node.stopper());
+        let (addr, stop) = (node.sip_addr().expect("the SIP front is on"), node.shutdown_sender());
         let (http, netconf) = (node.http_addr(), node.netconf_addr());
         Proxy { addr, http, netconf, stop, thread: Some(thread::spawn(|| node.run())) }
     }
