--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::engine::EngineMail;
+use crate::net::engine::EngineMessage;
 
 /// Why the store did not do what was asked.
 #[derive(Debug, Error)]
@@ -36,7 +36,7 @@
 /// The way to the tenants, for all interfaces.
 #[derive(Debug)]
 pub struct Store {
-    engine: Sender<EngineMail>,
+    engine: Sender<EngineMessage>,
     file: Option<PathBuf>,
     /// One change at a time, so that the file holds the last one.
     turn: Mutex<()>,
@@ -45,14 +45,14 @@
 
 impl Store {
     /// The store that the module's actor holds, kept in a file where one is named.
-    pub fn new(engine: Sender<EngineMail>, file: Option<PathBuf>) -> Self {
+    pub fn new(engine: Sender<EngineMessage>, file: Option<PathBuf>) -> Self {
         Store { engine, file, turn: Mutex::new(()), lock: Cell::new(None) }
     }
 
     /// All tenants with their counts.
     pub async fn list(&self) -> Result<Vec<(Tenant, Counts)>, StoreError> {
         let (reply, answer) = bounded(1);
-        self.engine.send(EngineMail::Tenants(reply)).await.map_err(|_| StoreError::Ended)?;
+        self.engine.send(EngineMessage::ListTenants(reply)).await.map_err(|_| StoreError::Ended)?;
         answer.recv().await.map_err(|_| StoreError::Ended)
     }
 
@@ -63,7 +63,10 @@
             return Err(StoreError::Locked(holder));
         }
         let (reply, answer) = bounded(1);
-        self.engine.send(EngineMail::Change(changes, reply)).await.map_err(|_| StoreError::Ended)?;
+        self.engine
+            .send(EngineMessage::ChangeTenants(changes, reply))
+            .await
+            .map_err(|_| StoreError::Ended)?;
         answer.recv().await.map_err(|_| StoreError::Ended)??;
         let Some(file) = self.file.clone() else { return Ok(()) };
         let tenants: Vec<Tenant> = self.list().await?.into_iter().map(|(tenant, _)| tenant).collect();
--- a/src/config.rs
+++ b/src/config.rs
@@ -19,7 +19,7 @@
 use crate::interface::{ExchangeId, ExchangeNumber, Secs, Settings};
 use crate::limits::descriptors;
 use crate::limits::memory::UNLIMITED_MB;
-use crate::net::bulletin::Source;
+use crate::net::roster::RosterSource;
 use crate::sip::agent::Exchange;
 use crate::sip::header::{Hop, Transport};
 use crate::wire;
@@ -90,7 +90,7 @@
     /// Where callers connect.
     pub listen: SocketAddr,
     /// The bulletin, and what it has told so far.
-    pub source: Source,
+    pub source: RosterSource,
 }
 
 /// Where the configuration was read, to read it again.
@@ -104,7 +104,7 @@
 impl Origin {
     /// Reads the configuration again. A bad one is logged with its key and changes nothing; of a good one the
     /// bulletin counts at once, and what does not is logged.
-    pub fn again(&mut self) -> Option<Source> {
+    pub fn again(&mut self) -> Option<RosterSource> {
         let config = match Config::read(&self.env) {
             Ok(config) => config,
             Err(error) => {
@@ -369,7 +369,11 @@
                     .listen
                     .ok_or_else(|| source.fault("listen", "missing, and NODE_LISTEN is not set"))?,
             };
-            let source = Source { addr: node.bulletin, known: node.known.items, known_no: node.known.no };
+            let source = RosterSource {
+                addr: node.bulletin,
+                known_events: node.known.items,
+                last_known_event: node.known.no,
+            };
             platform = Some(Platform { listen, source });
         }
         let origin = Origin { env: env.clone(), file: file.unwrap_or_default() };
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -6,10 +6,10 @@
 use smol::future;
 use smol::Timer;
 
-use super::engine::EngineMail;
-use super::platform::FrontMail;
+use super::engine::EngineMessage;
+use super::platform::PlatformMessage;
 use super::post;
-use super::sip::SipMail;
+use super::sip::SipFrontMessage;
 use crate::calls::wheel::Wheel;
 use crate::calls::{CallEvent, CallTimer};
 use crate::interface::{Secs, Time};
@@ -37,25 +37,25 @@
 
 /// What is to be done when a time has come.
 #[derive(Debug)]
-pub enum Due {
+pub enum TimerKind {
     /// The core wants to be woken.
-    Core(CallTimer),
+    Call(CallTimer),
     /// The SIP front does.
     Sip(Alarm),
     /// The platform's front looks after its connections.
-    Front,
+    ConnectionCheck,
 }
 
 /// What the clock's actor is asked for.
-pub type Alarms = Sender<(Time, Due)>;
+pub type TimerSender = Sender<(Time, TimerKind)>;
 
 /// Turns the wheel: takes alarms from its mailbox and posts each when it is due.
 pub async fn run(
     clock: Clock,
-    mailbox: Receiver<(Time, Due)>,
-    engine: Sender<EngineMail>,
-    sip: Option<Sender<SipMail>>,
-    platform: Option<Sender<FrontMail>>,
+    mailbox: Receiver<(Time, TimerKind)>,
+    engine: Sender<EngineMessage>,
+    sip: Option<Sender<SipFrontMessage>>,
+    platform: Option<Sender<PlatformMessage>>,
 ) {
     let mut wheel = Wheel::new(clock.now());
     loop {
@@ -77,12 +77,14 @@
         }
         for due in wheel.due(clock.now()) {
             match (due, &sip) {
-                (Due::Core(wake), _) => post(&engine, EngineMail::Input(CallEvent::TimerExpired(wake))).await,
-                (Due::Sip(alarm), Some(sip)) => post(sip, SipMail::Woken(alarm)).await,
-                (Due::Sip(_), None) => {}
-                (Due::Front, _) => {
+                (TimerKind::Call(wake), _) => {
+                    post(&engine, EngineMessage::Input(CallEvent::TimerExpired(wake))).await
+                }
+                (TimerKind::Sip(alarm), Some(sip)) => post(sip, SipFrontMessage::TimerExpired(alarm)).await,
+                (TimerKind::Sip(_), None) => {}
+                (TimerKind::ConnectionCheck, _) => {
                     if let Some(platform) = &platform {
-                        post(platform, FrontMail::Look).await;
+                        post(platform, PlatformMessage::CheckConnections).await;
                     }
                 }
             }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -16,7 +16,7 @@
 use smol::net::TcpStream;
 use smol::{future, Async};
 
-use super::{post_with_backpressure, with_timeout, Tasks};
+use super::{post_throttled, with_timeout, Tasks};
 use crate::limits::memory::{slowest, Queue};
 use crate::sip::message::{Framer, Lost, Malformed, Message};
 use crate::telemetry;
@@ -30,16 +30,16 @@
 
 /// What a connection brings to its owner.
 #[derive(Debug)]
-pub enum Heard {
+pub enum ConnectionEvent {
     /// A message, or what stood in its place.
     Message(Result<Message, Malformed>),
     /// It is over; nothing follows.
-    Over(Over),
+    Ended(CloseReason),
 }
 
 /// How a connection ended.
 #[derive(Debug)]
-pub enum Over {
+pub enum CloseReason {
     /// The other side closed it.
     Closed,
     /// It broke.
@@ -52,7 +52,7 @@
 
 /// What waits to be written on one connection.
 #[derive(Debug)]
-struct Outbox {
+struct SendQueue {
     stream: TcpStream,
     waiting: RefCell<Vec<u8>>,
     /// Bytes that wait, with those in the hands of the writer.
@@ -67,17 +67,17 @@
 
 /// All outboxes of the proxy, and the bytes that they may hold together.
 #[derive(Debug)]
-pub struct Outboxes {
+pub struct SendQueues {
     limit: usize,
     total: Cell<usize>,
     next: Cell<u64>,
-    all: RefCell<BTreeMap<u64, Weak<Outbox>>>,
+    all: RefCell<BTreeMap<u64, Weak<SendQueue>>>,
 }
 
-impl Outboxes {
+impl SendQueues {
     /// None yet, with so many bytes for all.
-    pub fn new(limit: usize) -> Rc<Outboxes> {
-        Rc::new(Outboxes { limit, total: Cell::new(0), next: Cell::new(0), all: RefCell::default() })
+    pub fn new(limit: usize) -> Rc<SendQueues> {
+        Rc::new(SendQueues { limit, total: Cell::new(0), next: Cell::new(0), all: RefCell::default() })
     }
 
     /// Bytes that wait on all connections.
@@ -85,18 +85,18 @@
         self.total.get()
     }
 
-    fn add(&self, outbox: &Rc<Outbox>) -> u64 {
+    fn add(&self, send_queue: &Rc<SendQueue>) -> u64 {
         let number = self.next.get();
         self.next.set(number + 1);
-        self.all.borrow_mut().insert(number, Rc::downgrade(outbox));
+        self.all.borrow_mut().insert(number, Rc::downgrade(send_queue));
         number
     }
 
-    fn count(&self, outbox: &Outbox, added: usize, written: usize) {
-        if outbox.cut.get() {
+    fn count(&self, send_queue: &SendQueue, added: usize, written: usize) {
+        if send_queue.cut.get() {
             return;
         }
-        outbox.size.set((outbox.size.get() + added).saturating_sub(written));
+        send_queue.size.set((send_queue.size.get() + added).saturating_sub(written));
         self.total.set((self.total.get() + added).saturating_sub(written));
     }
 
@@ -104,62 +104,66 @@
     fn make_room(&self) {
         while self.total.get() > self.limit {
             let all = self.all.borrow();
-            let queue = |(number, outbox): (&u64, &Weak<Outbox>)| {
-                let outbox = outbox.upgrade()?;
-                Some(Queue { connection: *number, bytes: outbox.size.get(), proven: outbox.proven.get() })
+            let queue = |(number, send_queue): (&u64, &Weak<SendQueue>)| {
+                let send_queue = send_queue.upgrade()?;
+                Some(Queue {
+                    connection: *number,
+                    bytes: send_queue.size.get(),
+                    proven: send_queue.proven.get(),
+                })
             };
             let Some(number) = slowest(all.iter().filter_map(queue)) else { return };
-            let Some(outbox) = all.get(&number).and_then(Weak::upgrade) else { return };
+            let Some(send_queue) = all.get(&number).and_then(Weak::upgrade) else { return };
             telemetry::queue_cut("all queues");
-            self.cut(&outbox, "all queues together hold too much");
+            self.cut(&send_queue, "all queues together hold too much");
         }
     }
 
     /// Ends a connection and frees what waits on it.
-    fn cut(&self, outbox: &Outbox, reason: &'static str) {
-        let peer = outbox.stream.peer_addr().ok();
-        tracing::warn!(?peer, reason, bytes = outbox.size.get(), "slow reader: connection closed");
-        let _ = outbox.stream.shutdown(Shutdown::Both);
-        outbox.waiting.borrow_mut().clear();
+    fn cut(&self, send_queue: &SendQueue, reason: &'static str) {
+        let peer = send_queue.stream.peer_addr().ok();
+        tracing::warn!(?peer, reason, bytes = send_queue.size.get(), "slow reader: connection closed");
+        let _ = send_queue.stream.shutdown(Shutdown::Both);
+        send_queue.waiting.borrow_mut().clear();
         // With what the writer holds.
-        self.count(outbox, 0, outbox.size.get());
-        outbox.cut.set(true);
+        self.count(send_queue, 0, send_queue.size.get());
+        send_queue.cut.set(true);
     }
 }
 
 /// The owner's end of a connection. Dropping it lets what waits go out, then closes.
 #[derive(Debug)]
-pub struct Conn {
-    outboxes: Rc<Outboxes>,
-    outbox: Rc<Outbox>,
+pub struct ConnectionHandle {
+    send_queues: Rc<SendQueues>,
+    send_queue: Rc<SendQueue>,
     number: u64,
     /// Wakes the writer; closed, the writer ends.
     wake: Sender<()>,
 }
 
-impl Drop for Conn {
+impl Drop for ConnectionHandle {
     fn drop(&mut self) {
-        self.outboxes.all.borrow_mut().remove(&self.number);
-        if self.outbox.finishing.get() {
-            let _ = self.outbox.stream.shutdown(Shutdown::Both);
+        self.send_queues.all.borrow_mut().remove(&self.number);
+        if self.send_queue.finishing.get() {
+            let _ = self.send_queue.stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-impl Conn {
+impl ConnectionHandle {
     /// Starts to read and write. Whatever is read goes to the mailbox under the number given. A message has to be
     /// whole within a time from its first byte.
     pub fn open<M: 'static>(
         tasks: &Tasks,
-        outboxes: &Rc<Outboxes>,
+        send_queues: &Rc<SendQueues>,
         stream: TcpStream,
         mailbox: Sender<M>,
         whole_within: Duration,
-        wrap: impl Fn(Heard) -> M + 'static,
-    ) -> Conn {
+        wrap: impl Fn(ConnectionEvent) -> M + 'static,
+    ) -> ConnectionHandle {
         // Small messages at once; where the option fails they only come later.
         let _ = stream.set_nodelay(true);
-        let outbox = Rc::new(Outbox {
+        let send_queue = Rc::new(SendQueue {
             stream: stream.clone(),
             waiting: RefCell::default(),
             size: Cell::new(0),
@@ -167,66 +171,66 @@
             finishing: Cell::new(false),
             cut: Cell::new(false),
         });
-        let number = outboxes.add(&outbox);
+        let number = send_queues.add(&send_queue);
         let (wake, woken) = bounded(1);
-        tasks.spawn(write(outboxes.clone(), outbox.clone(), woken)).detach();
+        tasks.spawn(write(send_queues.clone(), send_queue.clone(), woken)).detach();
         tasks.spawn(async move { read(stream, mailbox, whole_within, wrap).await }).detach();
-        Conn { outboxes: outboxes.clone(), outbox, number, wake }
+        ConnectionHandle { send_queues: send_queues.clone(), send_queue, number, wake }
     }
 
     /// It has brought a call, or leads to an exchange: others are cut before it.
     pub fn prove(&self) {
-        self.outbox.proven.set(true);
+        self.send_queue.proven.set(true);
     }
 
     /// Lets what waits go out and closes the way out; what the other side still writes is heard until it closes too or
     /// this is dropped.
     pub fn finish(&self) {
-        self.outbox.finishing.set(true);
+        self.send_queue.finishing.set(true);
         self.wake.close();
     }
 
     /// Queues a message. A reader too slow to keep up loses its connection, so that nobody waits for it.
     pub fn write(&self, message: &Message) -> bool {
-        if self.wake.is_closed() || self.outbox.cut.get() {
+        if self.wake.is_closed() || self.send_queue.cut.get() {
             return false;
         }
-        if self.outbox.size.get() > QUEUED {
+        if self.send_queue.size.get() > QUEUED {
             telemetry::queue_cut("one queue");
-            self.outboxes.cut(&self.outbox, "its reader is too slow");
+            self.send_queues.cut(&self.send_queue, "its reader is too slow");
             return false;
         }
         let bytes = message.bytes();
-        self.outboxes.count(&self.outbox, bytes.len(), 0);
-        self.outbox.waiting.borrow_mut().extend_from_slice(&bytes);
+        self.send_queues.count(&self.send_queue, bytes.len(), 0);
+        self.send_queue.waiting.borrow_mut().extend_from_slice(&bytes);
         // One that waits already wakes the writer for this as well.
         let _ = self.wake.try_send(());
-        self.outboxes.make_room();
+        self.send_queues.make_room();
         true
     }
 }
 
-async fn write(outboxes: Rc<Outboxes>, outbox: Rc<Outbox>, woken: Receiver<()>) {
-    let mut stream = outbox.stream.clone();
+async fn write(send_queues: Rc<SendQueues>, send_queue: Rc<SendQueue>, woken: Receiver<()>) {
+    let mut stream = send_queue.stream.clone();
     loop {
-        let bytes = std::mem::take(&mut *outbox.waiting.borrow_mut());
+        let bytes = std::mem::take(&mut *send_queue.waiting.borrow_mut());
         if bytes.is_empty() {
-            if woken.recv().await.is_err() && outbox.waiting.borrow().is_empty() {
+            if woken.recv().await.is_err() && send_queue.waiting.borrow().is_empty() {
                 break;
             }
             continue;
         }
         let written = with_timeout(WRITE_LIMIT, stream.write_all(&bytes)).await;
-        outboxes.count(&outbox, 0, bytes.len());
+        send_queues.count(&send_queue, 0, bytes.len());
         if written.is_err() {
-            let waiting = std::mem::take(&mut *outbox.waiting.borrow_mut()).len();
-            outboxes.count(&outbox, 0, waiting);
+            let waiting = std::mem::take(&mut *send_queue.waiting.borrow_mut()).len();
+            send_queues.count(&send_queue, 0, waiting);
             // Whatever else is queued has nowhere to go.
             woken.close();
             break;
         }
     }
-    let _ = stream.shutdown(if outbox.finishing.get() { Shutdown::Write } else { Shutdown::Both });
+    let _ = stream.shutdown(if send_queue.finishing.get() { Shutdown::Write } else { Shutdown::Both });
 }
 
 /// Reads what is there; between reads a connection holds no buffer.
@@ -237,7 +241,12 @@
     Ok(n)
 }
 
-async fn read<M>(stream: TcpStream, mailbox: Sender<M>, whole_within: Duration, wrap: impl Fn(Heard) -> M) {
+async fn read<M>(
+    stream: TcpStream,
+    mailbox: Sender<M>,
+    whole_within: Duration,
+    wrap: impl Fn(ConnectionEvent) -> M,
+) {
     let stream: Arc<Async<std::net::TcpStream>> = stream.into();
     let mut framer = Framer::default();
     let mut since = None;
@@ -251,27 +260,29 @@
             }
         };
         match got {
-            Ok(0) => break Over::Closed,
+            Ok(0) => break CloseReason::Closed,
             Ok(_) => {}
-            Err(error) if since.is_some() && error.kind() == io::ErrorKind::TimedOut => break Over::CutShort,
-            Err(error) => break Over::Broken(error),
+            Err(error) if since.is_some() && error.kind() == io::ErrorKind::TimedOut => {
+                break CloseReason::CutShort
+            }
+            Err(error) => break CloseReason::Broken(error),
         }
         loop {
             match framer.pull() {
                 Ok(Some(message)) => {
                     since = None;
-                    if !post_with_backpressure(&mailbox, wrap(Heard::Message(message))).await {
+                    if !post_throttled(&mailbox, wrap(ConnectionEvent::Message(message))).await {
                         return;
                     }
                     // Whoever sends much at a time takes turns with all others.
                     future::yield_now().await;
                 }
                 Ok(None) => break,
-                Err(lost) => break 'reading Over::Framing(lost),
+                Err(lost) => break 'reading CloseReason::Framing(lost),
             }
         }
         framer.shrink();
         since = framer.is_within().then(|| since.unwrap_or_else(Instant::now));
     };
-    let _ = mailbox.send(wrap(Heard::Over(over))).await;
+    let _ = mailbox.send(wrap(ConnectionEvent::Ended(over))).await;
 }
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -6,11 +6,11 @@
 use smol::channel::{Receiver, Sender};
 use smol::Timer;
 
-use super::bulletin::Listed;
-use super::clock::{Alarms, Clock, Due};
-use super::peer::{self, PeerMail, Shared};
-use super::platform::FrontMail;
-use super::sip::SipMail;
+use super::clock::{Clock, TimerKind, TimerSender};
+use super::peer::{self, PeerActorMessage, PeerContext};
+use super::platform::PlatformMessage;
+use super::roster::ListedExchange;
+use super::sip::SipFrontMessage;
 use super::{post, Tasks};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
 use crate::calls::{CallEffect, CallEvent, ExchangeCommand, Front, Table};
@@ -28,30 +28,30 @@
 
 /// What the actor is told.
 #[derive(Debug)]
-pub enum EngineMail {
+pub enum EngineMessage {
     /// Something for the core.
     Input(CallEvent),
     /// News of the exchanges.
-    List {
+    Roster {
         /// The whole list, or changes.
-        whole: bool,
+        full: bool,
         /// Its lines.
-        listed: Vec<Listed>,
+        listed: Vec<ListedExchange>,
     },
     /// The administration looks at the tenants.
-    Tenants(Sender<Vec<(Tenant, Counts)>>),
+    ListTenants(Sender<Vec<(Tenant, Counts)>>),
     /// The administration changes them.
-    Change(Vec<Change>, Sender<Result<(), ChangeError>>),
+    ChangeTenants(Vec<Change>, Sender<Result<(), ChangeError>>),
     /// States have been waited for long enough.
-    Patience,
+    ReadinessTimeout,
     /// The program is to end once no call is left.
     Drain,
     /// A look at whether any is.
-    Look,
-    /// After [`EngineMail::Drain`]: the platform's front has no connection left and accepts none.
-    CallersLeft,
+    CheckDrained,
+    /// After [`EngineMessage::Drain`]: the platform's front has no connection left and accepts none.
+    CallersDisconnected,
     /// Time to log the counters.
-    Summary,
+    LogSummary,
 }
 
 /// The actor's state.
@@ -63,79 +63,75 @@
     /// Where new actors start.
     pub tasks: Tasks,
     /// The own exchange.
-    pub own: Option<ExchangeNumber>,
+    pub own_exchange: Option<ExchangeNumber>,
     /// No caller waits longer than this.
     pub longest_deadline: Secs,
     /// What the actors of exchanges need.
-    pub peers: Shared,
+    pub peer_context: PeerContext,
     /// The own mailbox.
-    pub mailbox: Sender<EngineMail>,
+    pub mailbox: Sender<EngineMessage>,
     /// The clock's actor.
-    pub alarms: Alarms,
+    pub timers: TimerSender,
     /// The platform's front, unless it is off.
-    pub platform: Option<Sender<FrontMail>>,
+    pub platform: Option<Sender<PlatformMessage>>,
     /// The SIP front, unless it is off.
-    pub sip: Option<Sender<SipMail>>,
+    pub sip: Option<Sender<SipFrontMessage>>,
     /// The exchanges that speak SIP: they are on no list and always on.
-    pub sip_offices: Vec<RosterEntry>,
+    pub sip_exchanges: Vec<RosterEntry>,
 }
 
 impl Engine {
     /// Runs until the program has drained.
-    pub async fn run(mut self, mail: Receiver<EngineMail>) {
-        let mut peers: BTreeMap<ExchangeId, Sender<PeerMail>> = BTreeMap::new();
+    pub async fn run(mut self, mail: Receiver<EngineMessage>) {
+        let mut peers: BTreeMap<ExchangeId, Sender<PeerActorMessage>> = BTreeMap::new();
         let mut commands = Vec::new();
         let (mut ready, mut patient) = (false, true);
         let mut drain_at: Option<Time> = None;
         let mut shutdown: Option<Shutdown> = None;
         let mut callers_left = self.platform.is_none();
-        self.later(PATIENCE, || EngineMail::Patience);
-        self.later(SUMMARY, || EngineMail::Summary);
+        self.later(PATIENCE, || EngineMessage::ReadinessTimeout);
+        self.later(SUMMARY, || EngineMessage::LogSummary);
         while let Ok(mail) = mail.recv().await {
             let now = self.clock.now();
             tracing::trace!(?mail);
             match mail {
-                EngineMail::Input(input) => self.table.handle(now, input, &mut commands),
-                EngineMail::List { whole, listed } => {
-                    tracing::info!(whole, lines = listed.len(), "list");
-                    let gone = self.follow(whole, &listed, &mut peers);
-                    let mut offices: Vec<_> = listed.into_iter().map(|l| l.office).collect();
-                    if whole {
-                        offices.extend(self.sip_offices.iter().cloned());
+                EngineMessage::Input(input) => self.table.handle(now, input, &mut commands),
+                EngineMessage::Roster { full, listed } => {
+                    tracing::info!(whole = full, lines = listed.len(), "list");
+                    let gone = self.follow(full, &listed, &mut peers);
+                    let mut offices: Vec<_> = listed.into_iter().map(|l| l.entry).collect();
+                    if full {
+                        offices.extend(self.sip_exchanges.iter().cloned());
                     }
-                    self.table.handle(
-                        now,
-                        CallEvent::Roster { full: whole, entries: offices },
-                        &mut commands,
-                    );
+                    self.table.handle(now, CallEvent::Roster { full, entries: offices }, &mut commands);
                     self.carry_out(&mut commands, &peers).await;
                     for office in gone {
                         if let Some(peer) = peers.remove(&office) {
-                            self.inform(&peer, PeerMail::Condition(ServiceState::Removed));
+                            self.inform(&peer, PeerActorMessage::StateChanged(ServiceState::Removed));
                         }
                     }
                 }
-                EngineMail::Tenants(reply) => {
+                EngineMessage::ListTenants(reply) => {
                     // Whoever asked may have left.
                     let _ = reply.try_send(self.table.tenants().list());
                 }
-                EngineMail::Change(changes, reply) => {
+                EngineMessage::ChangeTenants(changes, reply) => {
                     tracing::info!(?changes, "tenants changed");
                     let _ = reply.try_send(self.table.tenants_mut().change(&changes));
                 }
-                EngineMail::Patience => patient = false,
-                EngineMail::Drain => {
+                EngineMessage::ReadinessTimeout => patient = false,
+                EngineMessage::Drain => {
                     tracing::info!(open = self.table.open(), standing = self.table.standing(), "draining");
                     drain_at = drain_at.or(Some(now));
                     let begun = *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
                     if let Some(platform) = self.platform.clone() {
                         // This actor waits for no other.
-                        let told = async move { post(&platform, FrontMail::Drain(begun)).await };
+                        let told = async move { post(&platform, PlatformMessage::Drain(begun)).await };
                         self.tasks.spawn(told).detach();
                     }
-                    self.later(LOOK, || EngineMail::Look);
+                    self.later(LOOK, || EngineMessage::CheckDrained);
                 }
-                EngineMail::Look => {
+                EngineMessage::CheckDrained => {
                     let waited = drain_at.is_some_and(|at| now - at >= LINGER);
                     if waited && callers_left && self.table.open() + self.table.standing() == 0 {
                         tracing::info!(counters = telemetry::summary(), "drained");
@@ -147,13 +143,13 @@
                     if shutdown.is_some_and(|s| s.must_conclude(now)) {
                         self.table.refuse_open(&mut commands);
                     }
-                    self.later(LOOK, || EngineMail::Look);
+                    self.later(LOOK, || EngineMessage::CheckDrained);
                 }
-                EngineMail::CallersLeft => callers_left = true,
-                EngineMail::Summary => {
+                EngineMessage::CallersDisconnected => callers_left = true,
+                EngineMessage::LogSummary => {
                     telemetry::call_records(self.table.held_bytes());
                     tracing::info!(counters = telemetry::summary(), "counters since the start");
-                    self.later(SUMMARY, || EngineMail::Summary);
+                    self.later(SUMMARY, || EngineMessage::LogSummary);
                 }
             }
             self.carry_out(&mut commands, &peers).await;
@@ -161,13 +157,13 @@
                 ready = true;
                 tracing::info!(informed = self.table.informed(), "ready");
                 if let Some(platform) = &self.platform {
-                    let _ = platform.try_send(FrontMail::Ready);
+                    let _ = platform.try_send(PlatformMessage::Ready);
                 }
             }
         }
     }
 
-    fn later(&self, after: Duration, mail: fn() -> EngineMail) {
+    fn later(&self, after: Duration, mail: fn() -> EngineMessage) {
         let mailbox = self.mailbox.clone();
         let wait = async move {
             Timer::after(after).await;
@@ -177,7 +173,7 @@
     }
 
     /// Tells an exchange's actor of news.
-    fn inform(&self, peer: &Sender<PeerMail>, news: PeerMail) {
+    fn inform(&self, peer: &Sender<PeerActorMessage>, news: PeerActorMessage) {
         // Its mailbox has no bound, and it ends by such news alone.
         let _ = peer.try_send(news);
     }
@@ -185,28 +181,28 @@
     /// Starts an actor for every new exchange and tells the others; returns those that are gone.
     fn follow(
         &self,
-        whole: bool,
-        listed: &[Listed],
-        peers: &mut BTreeMap<ExchangeId, Sender<PeerMail>>,
+        full: bool,
+        listed: &[ListedExchange],
+        peers: &mut BTreeMap<ExchangeId, Sender<PeerActorMessage>>,
     ) -> Vec<ExchangeId> {
         let mut gone = Vec::new();
-        for Listed { office, addr } in listed {
-            let id = office.id;
-            match office.state {
+        for ListedExchange { entry, addr } in listed {
+            let id = entry.id;
+            match entry.state {
                 ServiceState::Removed => gone.push(id),
-                condition if self.own != Some(office.number) => {
-                    let start = || peer::start(self.peers.clone(), id, *addr);
+                condition if self.own_exchange != Some(entry.number) => {
+                    let start = || peer::start(self.peer_context.clone(), id, *addr);
                     let peer = peers.entry(id).or_insert_with(start);
-                    self.inform(peer, PeerMail::Condition(condition));
-                    if let Some(at) = office.ready_at {
-                        self.inform(peer, PeerMail::Started(at));
+                    self.inform(peer, PeerActorMessage::StateChanged(condition));
+                    if let Some(at) = entry.ready_at {
+                        self.inform(peer, PeerActorMessage::StartedAt(at));
                     }
                 }
                 _ => {}
             }
         }
-        if whole {
-            gone.extend(peers.keys().filter(|id| !listed.iter().any(|l| l.office.id == **id)));
+        if full {
+            gone.extend(peers.keys().filter(|id| !listed.iter().any(|l| l.entry.id == **id)));
         }
         gone
     }
@@ -214,7 +210,7 @@
     async fn carry_out(
         &mut self,
         commands: &mut Vec<CallEffect>,
-        peers: &BTreeMap<ExchangeId, Sender<PeerMail>>,
+        peers: &BTreeMap<ExchangeId, Sender<PeerActorMessage>>,
     ) {
         // A command that can't be delivered may bring more.
         while !commands.is_empty() {
@@ -224,11 +220,11 @@
                     CallEffect::Caller(front, id, near) => {
                         let told = match front {
                             Front::Platform => {
-                                let mail = FrontMail::Near(id, near);
+                                let mail = PlatformMessage::ToCaller(id, near);
                                 self.platform.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
                             }
                             Front::Sip => {
-                                let mail = SipMail::Near(id, near);
+                                let mail = SipFrontMessage::ToCaller(id, near);
                                 self.sip.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
                             }
                         };
@@ -241,11 +237,11 @@
                             ExchangeCommand::SetUp(set_up) => Some(set_up.leg),
                             _ => None,
                         };
-                        let sent = if self.sip_offices.iter().any(|o| o.id == office) {
-                            let mail = SipMail::Far(office, id.clone(), far);
+                        let sent = if self.sip_exchanges.iter().any(|o| o.id == office) {
+                            let mail = SipFrontMessage::ToExchange(office, id.clone(), far);
                             self.sip.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
                         } else {
-                            let mail = PeerMail::Command(id.clone(), far);
+                            let mail = PeerActorMessage::Command(id.clone(), far);
                             peers.get(&office).is_some_and(|peer| peer.try_send(mail).is_ok())
                         };
                         if let (false, Some(leg)) = (sent, set_up) {
@@ -264,7 +260,7 @@
                         }
                     }
                     CallEffect::StartTimer(at, wake) => {
-                        if self.alarms.try_send((at, Due::Core(wake))).is_err() {
+                        if self.timers.try_send((at, TimerKind::Call(wake))).is_err() {
                             tracing::error!("the clock has ended: an alarm is lost");
                         }
                     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,13 +1,13 @@
 //! The actors that hold sockets: the platform's front, one for each exchange, the list, the clock, and the
 //! module's own. All run on one thread; each owns its state and hears the others through its mailbox.
 
-pub mod bulletin;
 pub mod clock;
 pub mod conn;
 pub mod engine;
 pub mod peer;
 pub mod permits;
 pub mod platform;
+pub mod roster;
 pub mod sip;
 
 use std::future::Future;
@@ -29,7 +29,7 @@
 use crate::limits::descriptors::DescriptorPlan;
 use crate::limits::memory::MemoryPlan;
 use crate::sip::agent::{ClassOfCall, Setup};
-use conn::Outboxes;
+use conn::SendQueues;
 use permits::Permits;
 
 /// Where actors run.
@@ -41,7 +41,7 @@
 const BACKPRESSURE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Hands something from outside to an actor once it has caught up; returns whether the actor is there.
-pub(crate) async fn post_with_backpressure<M>(mailbox: &Sender<M>, mail: M) -> bool {
+pub(crate) async fn post_throttled<M>(mailbox: &Sender<M>, mail: M) -> bool {
     while mailbox.len() >= BACKPRESSURE_THRESHOLD {
         Timer::after(BACKPRESSURE_POLL_INTERVAL).await;
     }
@@ -133,12 +133,12 @@
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
         let origin = config.origin.clone();
         let mut sources = None;
-        let (engine, engine_mail) = unbounded();
-        let (alarms, alarm_mail) = unbounded();
+        let (engine, engine_messages) = unbounded();
+        let (timers, timer_requests) = unbounded();
         let descriptors = DescriptorPlan::new(config.sockets, config.admin.is_some());
         let memory = MemoryPlan::new(config.memory_mb);
         tracing::info!(?descriptors, ?memory, "budgets");
-        let outboxes = Outboxes::new(memory.queues);
+        let send_queues = SendQueues::new(memory.queues);
         let permits = Permits::new(clock, descriptors.exchanges);
         let mut front = None;
         if let (Some(listener), Some(at)) = (platform, config.platform) {
@@ -146,17 +146,17 @@
             let (follow, followed) = bounded(1);
             let (stop_accepting, accepting_stopped) = bounded(1);
             sources = Some(follow);
-            tasks.spawn(bulletin::run(at.source, followed, engine.clone())).detach();
-            let platform = platform::Platform {
+            tasks.spawn(roster::run(at.source, followed, engine.clone())).detach();
+            let platform = platform::PlatformFront {
                 tasks: tasks.clone(),
                 engine: engine.clone(),
                 mailbox: mailbox.clone(),
                 clock,
-                alarms: alarms.clone(),
-                outboxes: outboxes.clone(),
+                timers: timers.clone(),
+                send_queues: send_queues.clone(),
                 permits: permits.clone(),
-                most: descriptors.callers,
-                releases: memory.releases,
+                max_connections: descriptors.callers,
+                max_release_bytes: memory.releases,
                 stop_accepting,
             };
             tasks.spawn(platform.run(mail)).detach();
@@ -165,12 +165,12 @@
             front = Some(mailbox);
         }
         let mut sip_front = None;
-        let mut sip_offices = Vec::new();
+        let mut sip_exchanges = Vec::new();
         if let (Some((udp, tcp)), Some(at)) = (sip, config.sip) {
             let (mailbox, mail) = unbounded();
             let addr = udp.local_addr()?;
             tracing::info!(name = config.name, listen = %addr, "SIP over UDP and TCP started");
-            sip_offices = at.exchanges.iter().map(|e| e.line()).collect();
+            sip_exchanges = at.exchanges.iter().map(|e| e.line()).collect();
             let class = |c: &crate::interface::Class| ClassOfCall {
                 name: c.name.clone(),
                 give_up: c.give_up_after,
@@ -188,15 +188,17 @@
                 clock,
                 engine: engine.clone(),
                 mailbox: mailbox.clone(),
-                alarms: alarms.clone(),
-                outboxes: outboxes.clone(),
+                timers: timers.clone(),
+                send_queues: send_queues.clone(),
                 connect_timeout: config.connect_timeout,
-                most: config.sockets / 3,
+                max_connections: config.sockets / 3,
             };
             tasks.spawn(sip.run(setup, udp, tcp, mail)).detach();
             sip_front = Some(mailbox);
         }
-        tasks.spawn(clock::run(clock, alarm_mail, engine.clone(), sip_front.clone(), front.clone())).detach();
+        tasks
+            .spawn(clock::run(clock, timer_requests, engine.clone(), sip_front.clone(), front.clone()))
+            .detach();
         if let Some(admin) = config.admin {
             let store = Rc::new(Store::new(engine.clone(), admin.store));
             if let (Some(listener), Some((_, tokens))) = (http, admin.http) {
@@ -213,7 +215,7 @@
                 match signal {
                     // One that waits already reads the same file.
                     Ok(Signal::Hup) => drop(again.try_send(())),
-                    _ => post(&drain, engine::EngineMail::Drain).await,
+                    _ => post(&drain, engine::EngineMessage::Drain).await,
                 }
             }
         };
@@ -233,11 +235,11 @@
         let drain = engine.clone();
         let told = async move {
             while stop.1.recv().await.is_ok() {
-                post(&drain, engine::EngineMail::Drain).await;
+                post(&drain, engine::EngineMessage::Drain).await;
             }
         };
         tasks.spawn(told).detach();
-        let own = config.settings.own_exchange;
+        let own_exchange = config.settings.own_exchange;
         let longest_deadline = config.settings.classes.iter().map(|c| c.give_up_after).fold(0.0, f64::max);
         let mut table = Table::new(config.settings, Tenants::new(config.tenants), config.seed, clock.now());
         table.limit_bytes(memory.calls);
@@ -245,24 +247,24 @@
             table,
             clock,
             tasks: tasks.clone(),
-            own,
+            own_exchange,
             longest_deadline,
-            peers: peer::Shared {
+            peer_context: peer::PeerContext {
                 tasks,
                 name: config.name.as_str().into(),
                 connect_timeout: config.connect_timeout,
                 clock,
                 engine: engine.clone(),
                 permits,
-                outboxes,
+                send_queues,
             },
             mailbox: engine,
-            alarms,
+            timers,
             platform: front,
             sip: sip_front,
-            sip_offices,
+            sip_exchanges,
         };
-        module.run(engine_mail).await;
+        module.run(engine_messages).await;
         // What is queued on connections goes out.
         Timer::after(Duration::from_millis(50)).await;
         Ok(())
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -66,7 +66,7 @@
 
     fn request(&self, method: &str, number: &str, id: &CallId, cseq: u32) -> Message {
         Message::request(method, &format!("sip:{number}@net"))
-            .with("Via", format_args!("SIP/2.0/TCP {}", self.shared.name))
+            .with("Via", format_args!("SIP/2.0/TCP {}", self.context.name))
             .with("Call-ID", &id.0)
             .with("CSeq", format_args!("{cseq} {method}"))
     }
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -4,13 +4,13 @@
 
 use smol::net::TcpStream;
 
-use super::{Connection, Peer, PeerMail, MAX_CONNECTIONS};
+use super::{Connection, Peer, PeerActorMessage, MAX_CONNECTIONS};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
 use crate::membership::liveness::Ending;
-use crate::net::conn::Conn;
-use crate::net::permits::{Answer, Permit};
+use crate::net::conn::ConnectionHandle;
+use crate::net::permits::{Permit, PermitDecision};
 use crate::net::with_timeout;
 use crate::telemetry;
 
@@ -39,31 +39,33 @@
                 0 => Purpose::Idle,
                 _ => Purpose::Another,
             };
-            match self.shared.permits.ask(self.office, purpose) {
-                Answer::Granted(permit) => self.open_connection(permit),
-                Answer::Wait => return self.connect_again_after(GIVE_UP_DELAY),
-                Answer::No if purpose == Purpose::Needed => return self.connect_again_after(RECONNECT_DELAY),
+            match self.context.permits.request(self.office, purpose) {
+                PermitDecision::Granted(permit) => self.open_connection(permit),
+                PermitDecision::Wait => return self.connect_again_after(GIVE_UP_DELAY),
+                PermitDecision::Denied if purpose == Purpose::Needed => {
+                    return self.connect_again_after(RECONNECT_DELAY)
+                }
                 // It is asked for again when it is needed.
-                Answer::No => return,
+                PermitDecision::Denied => return,
             }
         }
     }
 
     fn connect_again_after(&mut self, seconds: Secs) {
         if !std::mem::replace(&mut self.retrying, true) {
-            self.later(seconds, PeerMail::Retry);
+            self.later(seconds, PeerActorMessage::Reconnect);
         }
     }
 
     pub(super) fn open_connection(&mut self, permit: Permit) {
         self.connecting += 1;
         let (addr, mailbox) = (self.addr, self.own_mailbox.clone());
-        let limit = Duration::from_secs_f64(self.shared.connect_timeout.max(0.001));
+        let limit = Duration::from_secs_f64(self.context.connect_timeout.max(0.001));
         let connect = async move {
             let got = with_timeout(limit, TcpStream::connect(addr)).await;
-            let _ = mailbox.send(PeerMail::Connected(got, permit)).await;
+            let _ = mailbox.send(PeerActorMessage::Connected(got, permit)).await;
         };
-        self.shared.tasks.spawn(connect).detach();
+        self.context.tasks.spawn(connect).detach();
     }
 
     pub(super) fn connected(&mut self, stream: TcpStream, permit: Permit) {
@@ -71,9 +73,10 @@
         self.suspect = false;
         self.next += 1;
         let no = self.next;
-        let wrap = move |heard| PeerMail::Heard(no, heard);
-        let (tasks, outboxes) = (&self.shared.tasks, &self.shared.outboxes);
-        let conn = Conn::open(tasks, outboxes, stream, self.own_mailbox.clone(), WHOLE_WITHIN, wrap);
+        let wrap = move |heard| PeerActorMessage::Connection(no, heard);
+        let (tasks, send_queues) = (&self.context.tasks, &self.context.send_queues);
+        let conn =
+            ConnectionHandle::open(tasks, send_queues, stream, self.own_mailbox.clone(), WHOLE_WITHIN, wrap);
         conn.prove();
         let since = self.now();
         let connection = Connection {
@@ -191,14 +194,14 @@
         self.liveness.closed(self.now(), no, Ending::Broken);
         self.verifying = self.verifying.filter(|verifying| *verifying != no);
         self.retired.insert(no, (connection.conn, connection._permit));
-        self.later(retiring, PeerMail::Retired(no));
+        self.later(retiring, PeerActorMessage::RetirementOver(no));
     }
 
     /// Another exchange needs a connection more: the quietest goes, unless calls depend on it.
     pub(super) async fn give_up_connection(&mut self) {
         let only = self.connections.len() + self.connecting <= 1;
         let quietest = self.quietest(None).filter(|_| !(only && self.is_busy()));
-        let Some(no) = quietest else { return self.shared.permits.keeps(self.office) };
+        let Some(no) = quietest else { return self.context.permits.decline_release(self.office) };
         tracing::debug!(office = self.office.0, connection = no, "connection given up for another exchange");
         if self.liveness.calls() > 0 {
             return self.finish(no, RETIRING_IN_NEED);
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -15,8 +15,8 @@
 use smol::Timer;
 
 use super::clock::Clock;
-use super::conn::{Conn, Heard, Outboxes, Over};
-use super::engine::EngineMail;
+use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
+use super::engine::EngineMessage;
 use super::permits::{Permit, Permits};
 use super::{post, Tasks};
 use crate::calls::{CallEvent, ExchangeCommand};
@@ -30,30 +30,30 @@
 
 /// What the actor is told.
 #[derive(Debug)]
-pub enum PeerMail {
+pub enum PeerActorMessage {
     /// A command for a call.
     Command(CallId, ExchangeCommand),
     /// The list says so.
-    Condition(ServiceState),
+    StateChanged(ServiceState),
     /// The list says that its process started then.
-    Started(Time),
+    StartedAt(Time),
     /// A connection has come up, or has not.
     Connected(std::io::Result<TcpStream>, Permit),
     /// A connection, by its number, brings something.
-    Heard(u64, Heard),
+    Connection(u64, ConnectionEvent),
     /// Time to connect again.
-    Retry,
+    Reconnect,
     /// Time to look whether the exchange is alive.
-    Check,
+    CheckLiveness,
     /// Another exchange needs a connection more.
     GiveUpConnection,
     /// A connection whose way out is closed has been listened to for long enough.
-    Retired(u64),
+    RetirementOver(u64),
 }
 
 /// What all exchanges' actors need.
 #[derive(Clone)]
-pub struct Shared {
+pub struct PeerContext {
     /// Where new actors start.
     pub tasks: Tasks,
     /// The proxy's name.
@@ -63,16 +63,16 @@
     /// Its clock.
     pub clock: Clock,
     /// The core.
-    pub engine: Sender<EngineMail>,
+    pub engine: Sender<EngineMessage>,
     /// The connections to all exchanges.
     pub permits: Rc<Permits>,
     /// What waits to be written on all connections.
-    pub outboxes: Rc<Outboxes>,
+    pub send_queues: Rc<SendQueues>,
 }
 
 /// One connection.
 struct Connection {
-    conn: Conn,
+    conn: ConnectionHandle,
     _permit: Permit,
     /// When it came up.
     since: Time,
@@ -99,13 +99,13 @@
 struct Peer {
     office: ExchangeId,
     addr: SocketAddr,
-    shared: Shared,
-    own_mailbox: Sender<PeerMail>,
+    context: PeerContext,
+    own_mailbox: Sender<PeerActorMessage>,
     condition: ServiceState,
     /// Connections by number; what one that is no longer here still brings is ignored.
     connections: BTreeMap<u64, Connection>,
     /// Connections whose way out is closed, for what the other side still says.
-    retired: BTreeMap<u64, (Conn, Permit)>,
+    retired: BTreeMap<u64, (ConnectionHandle, Permit)>,
     next: u64,
     connecting: usize,
     /// A try to connect is due.
@@ -131,10 +131,10 @@
 }
 
 /// Starts the actor; it ends when its exchange is gone.
-pub fn start(shared: Shared, office: ExchangeId, addr: SocketAddr) -> Sender<PeerMail> {
+pub fn start(context: PeerContext, office: ExchangeId, addr: SocketAddr) -> Sender<PeerActorMessage> {
     // What is posted here is bounded by those who post: calls by their records, connections by the readers' turns.
     let (mailbox, mail) = unbounded();
-    shared.permits.listed(office, mailbox.clone());
+    context.permits.add_exchange(office, mailbox.clone());
     let peer = Peer {
         office,
         addr,
@@ -146,7 +146,7 @@
         connecting: 0,
         retrying: false,
         suspect: false,
-        latest_answered: shared.clock.now(),
+        latest_answered: context.clock.now(),
         waiting: VecDeque::new(),
         given_up: VecDeque::new(),
         liveness: Liveness::new(Timing::default()),
@@ -155,17 +155,17 @@
         verifying: None,
         verify_next: false,
         busy: false,
-        shared,
+        context,
     };
-    peer.shared.tasks.clone().spawn(peer.run(mail)).detach();
+    peer.context.tasks.clone().spawn(peer.run(mail)).detach();
     mailbox
 }
 
 impl Peer {
-    async fn run(mut self, mail: Receiver<PeerMail>) {
+    async fn run(mut self, mail: Receiver<PeerActorMessage>) {
         self.connect();
         while let Ok(mail) = mail.recv().await {
-            if matches!(mail, PeerMail::Condition(ServiceState::Removed)) {
+            if matches!(mail, PeerActorMessage::StateChanged(ServiceState::Removed)) {
                 return self.end().await;
             }
             self.take(mail).await;
@@ -175,27 +175,33 @@
         }
     }
 
-    async fn take(&mut self, mail: PeerMail) {
+    async fn take(&mut self, mail: PeerActorMessage) {
         match mail {
-            PeerMail::Command(id, far) => self.command(id, far).await,
-            PeerMail::Condition(condition) => self.condition(condition).await,
-            PeerMail::Started(at) => self.restarted(at).await,
-            PeerMail::Connected(Ok(stream), permit) => self.connected(stream, permit),
-            PeerMail::Connected(Err(error), permit) => {
+            PeerActorMessage::Command(id, far) => self.command(id, far).await,
+            PeerActorMessage::StateChanged(condition) => self.condition(condition).await,
+            PeerActorMessage::StartedAt(at) => self.restarted(at).await,
+            PeerActorMessage::Connected(Ok(stream), permit) => self.connected(stream, permit),
+            PeerActorMessage::Connected(Err(error), permit) => {
                 drop(permit);
                 self.refused(error).await;
             }
-            PeerMail::Heard(no, heard) if self.connections.contains_key(&no) => self.heard(no, heard).await,
-            PeerMail::Heard(no, Heard::Message(Ok(message))) if self.retired.contains_key(&no) => {
+            PeerActorMessage::Connection(no, heard) if self.connections.contains_key(&no) => {
+                self.heard(no, heard).await
+            }
+            PeerActorMessage::Connection(no, ConnectionEvent::Message(Ok(message)))
+                if self.retired.contains_key(&no) =>
+            {
                 self.message(no, message).await;
             }
-            PeerMail::Heard(no, _) | PeerMail::Retired(no) => drop(self.retired.remove(&no)),
-            PeerMail::Retry => {
+            PeerActorMessage::Connection(no, _) | PeerActorMessage::RetirementOver(no) => {
+                drop(self.retired.remove(&no))
+            }
+            PeerActorMessage::Reconnect => {
                 self.retrying = false;
                 self.connect();
             }
-            PeerMail::Check => self.check().await,
-            PeerMail::GiveUpConnection => self.give_up_connection().await,
+            PeerActorMessage::CheckLiveness => self.check().await,
+            PeerActorMessage::GiveUpConnection => self.give_up_connection().await,
         }
     }
 
@@ -203,7 +209,7 @@
     async fn end(mut self) {
         tracing::info!(office = self.office.0, addr = %self.addr, "exchange gone");
         self.condition = ServiceState::Removed;
-        self.shared.permits.gone(self.office);
+        self.context.permits.remove_exchange(self.office);
         let connections = std::mem::take(&mut self.connections);
         self.fail_waiting().await;
         for connection in connections.into_values() {
@@ -234,24 +240,27 @@
         self.connect();
     }
 
-    async fn heard(&mut self, no: u64, heard: Heard) {
+    async fn heard(&mut self, no: u64, heard: ConnectionEvent) {
         match heard {
-            Heard::Message(Ok(message)) => {
+            ConnectionEvent::Message(Ok(message)) => {
                 self.proof_of_life(no, &message);
                 self.message(no, message).await;
             }
             // Nothing that follows on the same connection can be trusted.
-            Heard::Message(Err(fault)) => self.lost(no, fault.to_string(), true, Ending::Broken).await,
-            Heard::Over(over) => {
-                let ours = !matches!(over, Over::Closed | Over::Broken(_));
-                let ending = if matches!(over, Over::Closed) { Ending::Closed } else { Ending::Broken };
+            ConnectionEvent::Message(Err(fault)) => {
+                self.lost(no, fault.to_string(), true, Ending::Broken).await
+            }
+            ConnectionEvent::Ended(over) => {
+                let ours = !matches!(over, CloseReason::Closed | CloseReason::Broken(_));
+                let ending =
+                    if matches!(over, CloseReason::Closed) { Ending::Closed } else { Ending::Broken };
                 self.lost(no, format!("{over:?}"), ours, ending).await;
             }
         }
     }
 
     fn now(&self) -> Time {
-        self.shared.clock.now()
+        self.context.clock.now()
     }
 
     /// Set-ups are open here or wait, or calls stand.
@@ -264,23 +273,23 @@
         let busy = self.is_busy();
         if busy != self.busy {
             self.busy = busy;
-            self.shared.permits.in_use(self.office, busy);
+            self.context.permits.set_in_use(self.office, busy);
         }
     }
 
     /// Posts something to this actor after a time.
-    fn later(&self, seconds: Secs, mail: PeerMail) {
+    fn later(&self, seconds: Secs, mail: PeerActorMessage) {
         let mailbox = self.own_mailbox.clone();
         let wait = Duration::from_secs_f64(seconds.max(0.001));
         let posted = async move {
             Timer::after(wait).await;
             let _ = mailbox.send(mail).await;
         };
-        self.shared.tasks.spawn(posted).detach();
+        self.context.tasks.spawn(posted).detach();
     }
 
     async fn tell(&self, input: CallEvent) {
-        post(&self.shared.engine, EngineMail::Input(input)).await;
+        post(&self.context.engine, EngineMessage::Input(input)).await;
     }
 
     async fn ended(&self, id: CallId, leg: Option<u32>, outcome: Outcome, why: Cause, report: LoadReport) {
--- a/src/net/peer/watch.rs
+++ b/src/net/peer/watch.rs
@@ -1,11 +1,11 @@
 //! Carries out what the failure detector of the exchange ([`crate::membership::liveness`]) asks for.
 
-use super::{Peer, PeerMail};
+use super::{Peer, PeerActorMessage};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
 use crate::membership::liveness::{Effect, Ending};
-use crate::net::permits::Answer;
+use crate::net::permits::PermitDecision;
 use crate::sip::message::Message;
 use crate::telemetry;
 
@@ -44,7 +44,7 @@
 
     fn check_again_at(&mut self, at: Time) {
         self.check_at = Some(at);
-        self.later(at - self.now(), PeerMail::Check);
+        self.later(at - self.now(), PeerActorMessage::CheckLiveness);
     }
 
     pub(super) async fn check(&mut self) {
@@ -88,7 +88,8 @@
         if self.connecting > 0 || stopped {
             return;
         }
-        let Answer::Granted(permit) = self.shared.permits.ask(self.office, Purpose::Verify) else {
+        let PermitDecision::Granted(permit) = self.context.permits.request(self.office, Purpose::Verify)
+        else {
             // The detector asks again before the lease is over.
             return;
         };
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -8,27 +8,27 @@
 use smol::channel::Sender;
 
 use super::clock::Clock;
-use super::peer::PeerMail;
+use super::peer::PeerActorMessage;
 use crate::interface::ExchangeId;
 use crate::limits::connections::{ConnectionBudget, Grant, Purpose};
 use crate::telemetry;
 
 /// What an actor that asks for a connection is told.
 #[derive(Debug)]
-pub enum Answer {
+pub enum PermitDecision {
     /// It may open one.
     Granted(Permit),
     /// Another exchange was asked to give one up: ask again in a moment.
     Wait,
     /// Not now.
-    No,
+    Denied,
 }
 
 /// The budget and those who share it.
 pub struct Permits {
     clock: Clock,
     budget: RefCell<ConnectionBudget>,
-    peers: RefCell<BTreeMap<ExchangeId, Sender<PeerMail>>>,
+    peers: RefCell<BTreeMap<ExchangeId, Sender<PeerActorMessage>>>,
 }
 
 /// The right to one descriptor for an exchange. Dropped, it is free again.
@@ -57,7 +57,7 @@
     }
 
     /// An exchange is there. Says once where not every exchange can have a connection.
-    pub fn listed(&self, office: ExchangeId, mailbox: Sender<PeerMail>) {
+    pub fn add_exchange(&self, office: ExchangeId, mailbox: Sender<PeerActorMessage>) {
         let mut budget = self.budget.borrow_mut();
         let fitted = budget.fits();
         budget.listed(self.clock.now(), office);
@@ -69,31 +69,31 @@
     }
 
     /// An exchange is gone.
-    pub fn gone(&self, office: ExchangeId) {
+    pub fn remove_exchange(&self, office: ExchangeId) {
         self.budget.borrow_mut().gone(office);
         self.peers.borrow_mut().remove(&office);
     }
 
     /// An exchange has set-ups open or calls that stand, or has none any more.
-    pub fn in_use(&self, office: ExchangeId, busy: bool) {
+    pub fn set_in_use(&self, office: ExchangeId, busy: bool) {
         self.budget.borrow_mut().in_use(self.clock.now(), office, busy);
     }
 
     /// An exchange can't give a connection up now.
-    pub fn keeps(&self, office: ExchangeId) {
+    pub fn decline_release(&self, office: ExchangeId) {
         self.budget.borrow_mut().refused(office);
     }
 
     /// Connections held.
-    pub fn held(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.budget.borrow().held()
     }
 
     /// An exchange wants a connection.
-    pub fn ask(self: &Rc<Self>, office: ExchangeId, purpose: Purpose) -> Answer {
+    pub fn request(self: &Rc<Self>, office: ExchangeId, purpose: Purpose) -> PermitDecision {
         let grant = self.budget.borrow_mut().ask(office, purpose);
         match grant {
-            Grant::Open => Answer::Granted(Permit { permits: self.clone(), office }),
+            Grant::Open => PermitDecision::Granted(Permit { permits: self.clone(), office }),
             Grant::After(victim) => {
                 telemetry::connection_given_up();
                 tracing::debug!(
@@ -104,13 +104,13 @@
                 );
                 if let Some(peer) = self.peers.borrow().get(&victim) {
                     // One whose actor has ended has given all up.
-                    let _ = peer.try_send(PeerMail::GiveUpConnection);
+                    let _ = peer.try_send(PeerActorMessage::GiveUpConnection);
                 }
-                Answer::Wait
+                PermitDecision::Wait
             }
             Grant::No => {
                 telemetry::connection_denied();
-                Answer::No
+                PermitDecision::Denied
             }
         }
     }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -9,11 +9,11 @@
 use smol::net::{TcpListener, TcpStream};
 use smol::{future, Timer};
 
-use super::clock::{Alarms, Clock, Due};
-use super::conn::{Conn, Heard, Outboxes, Over};
-use super::engine::EngineMail;
+use super::clock::{Clock, TimerKind, TimerSender};
+use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
+use super::engine::EngineMessage;
 use super::permits::Permits;
-use super::{post, post_with_backpressure, Tasks};
+use super::{post, post_throttled, Tasks};
 use crate::calls::{CallEvent, CallerCommand, Front, RejectReason, Request};
 use crate::interface::*;
 use crate::limits::memory::WaitingReleases;
@@ -38,23 +38,23 @@
 
 /// What the front is told.
 #[derive(Debug)]
-pub enum FrontMail {
+pub enum PlatformMessage {
     /// A caller has connected.
     Accepted(TcpStream),
     /// A connection brings something.
-    Heard(u64, Heard),
+    Connection(u64, ConnectionEvent),
     /// The core answers a caller.
-    Near(CallId, CallerCommand),
+    ToCaller(CallId, CallerCommand),
     /// Tests pass from now on.
     Ready,
     /// Time to look after the connections.
-    Look,
+    CheckConnections,
     /// The program is to end: connections are closed once nothing is left on them.
     Drain(Shutdown),
     /// No more connections are accepted.
-    AcceptEnded,
+    ListenerClosed,
     /// A connection waits and can't be accepted.
-    NoDescriptor,
+    AcceptFailed,
 }
 
 struct Leg {
@@ -67,7 +67,7 @@
 
 /// A caller's connection.
 struct Line {
-    conn: Conn,
+    conn: ConnectionHandle,
     /// When it was opened, and when it last brought a request or took an answer.
     opened: Time,
     active: Time,
@@ -84,31 +84,31 @@
 }
 
 /// The front's state.
-pub struct Platform {
+pub struct PlatformFront {
     /// Where new actors start.
     pub tasks: Tasks,
     /// The core.
-    pub engine: Sender<EngineMail>,
+    pub engine: Sender<EngineMessage>,
     /// The own mailbox.
-    pub mailbox: Sender<FrontMail>,
+    pub mailbox: Sender<PlatformMessage>,
     /// Its clock.
     pub clock: Clock,
     /// The clock's actor.
-    pub alarms: Alarms,
+    pub timers: TimerSender,
     /// What waits to be written on all connections.
-    pub outboxes: Rc<Outboxes>,
+    pub send_queues: Rc<SendQueues>,
     /// The connections to exchanges, for the counters.
     pub permits: Rc<Permits>,
     /// The most connections.
-    pub most: usize,
+    pub max_connections: usize,
     /// The most bytes of releases that wait for a connection.
-    pub releases: usize,
+    pub max_release_bytes: usize,
     /// Told once no more connections are to be accepted.
     pub stop_accepting: Sender<()>,
 }
 
 struct State {
-    front: Platform,
+    front: PlatformFront,
     ready: bool,
     next: u64,
     lines: BTreeMap<u64, Line>,
@@ -132,7 +132,7 @@
 }
 
 /// Accepts callers until it is told to stop. Whoever has connected by then is still handed on.
-pub async fn accept(listener: TcpListener, stop: Receiver<()>, mailbox: Sender<FrontMail>) {
+pub async fn accept(listener: TcpListener, stop: Receiver<()>, mailbox: Sender<PlatformMessage>) {
     loop {
         let stopped = async {
             // Without a sender nobody will ever stop it.
@@ -143,31 +143,29 @@
         };
         let accepted = async { Some(listener.accept().await) };
         match future::or(stopped, accepted).await {
-            Some(Ok((stream, _))) => {
-                drop(post_with_backpressure(&mailbox, FrontMail::Accepted(stream)).await)
-            }
+            Some(Ok((stream, _))) => drop(post_throttled(&mailbox, PlatformMessage::Accepted(stream)).await),
             Some(Err(error)) => {
                 telemetry::accept_failed();
                 tracing::warn!(%error, "no connection could be accepted: an idle one makes room");
-                post(&mailbox, FrontMail::NoDescriptor).await;
+                post(&mailbox, PlatformMessage::AcceptFailed).await;
                 Timer::after(ACCEPT_PAUSE).await;
             }
             None => break,
         }
     }
     while let Some(Ok((stream, _))) = future::poll_once(listener.accept()).await {
-        post(&mailbox, FrontMail::Accepted(stream)).await;
+        post(&mailbox, PlatformMessage::Accepted(stream)).await;
     }
     drop(listener);
-    post(&mailbox, FrontMail::AcceptEnded).await;
+    post(&mailbox, PlatformMessage::ListenerClosed).await;
 }
 
-impl Platform {
+impl PlatformFront {
     /// Runs for ever.
-    pub async fn run(self, mail: Receiver<FrontMail>) {
+    pub async fn run(self, mail: Receiver<PlatformMessage>) {
         let (lines, calls) = (BTreeMap::new(), BTreeMap::new());
         let unconnected_since = self.clock.now();
-        let unsent = WaitingReleases::new(self.releases);
+        let unsent = WaitingReleases::new(self.max_release_bytes);
         let mut state = State {
             front: self,
             ready: false,
@@ -182,11 +180,13 @@
         state.look().await;
         while let Ok(mail) = mail.recv().await {
             match mail {
-                FrontMail::Accepted(stream) => state.accepted(stream).await,
+                PlatformMessage::Accepted(stream) => state.accepted(stream).await,
                 // Whatever a connection still brings after its close is not heard.
-                FrontMail::Heard(no, _) if !state.lines.contains_key(&no) => {}
-                FrontMail::Heard(no, Heard::Message(Ok(message))) => state.message(no, message).await,
-                FrontMail::Heard(no, Heard::Message(Err(fault))) => {
+                PlatformMessage::Connection(no, _) if !state.lines.contains_key(&no) => {}
+                PlatformMessage::Connection(no, ConnectionEvent::Message(Ok(message))) => {
+                    state.message(no, message).await
+                }
+                PlatformMessage::Connection(no, ConnectionEvent::Message(Err(fault))) => {
                     tracing::warn!(%fault, "message from a caller");
                     let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
                     if known && !fault.response {
@@ -195,13 +195,13 @@
                         state.close(no).await;
                     }
                 }
-                FrontMail::Heard(no, Heard::Over(over)) => state.over(no, over).await,
-                FrontMail::Near(id, near) => state.near(id, near),
-                FrontMail::Ready => state.ready = true,
-                FrontMail::Look => state.look().await,
-                FrontMail::NoDescriptor => drop(state.make_room().await),
-                FrontMail::Drain(shutdown) => state.shutdown = state.shutdown.or(Some(shutdown)),
-                FrontMail::AcceptEnded => {
+                PlatformMessage::Connection(no, ConnectionEvent::Ended(over)) => state.over(no, over).await,
+                PlatformMessage::ToCaller(id, near) => state.near(id, near),
+                PlatformMessage::Ready => state.ready = true,
+                PlatformMessage::CheckConnections => state.look().await,
+                PlatformMessage::AcceptFailed => drop(state.make_room().await),
+                PlatformMessage::Drain(shutdown) => state.shutdown = state.shutdown.or(Some(shutdown)),
+                PlatformMessage::ListenerClosed => {
                     tracing::debug!(connections = state.lines.len(), "no more callers are accepted");
                     state.accepting = Accepting::Ended;
                     state.look().await;
@@ -213,19 +213,20 @@
 
 impl State {
     async fn accepted(&mut self, stream: TcpStream) {
-        let full = self.lines.len() >= self.front.most && !self.make_room().await;
-        let beyond = self.lines.len() >= self.front.most + MOST_BEYOND;
+        let full = self.lines.len() >= self.front.max_connections && !self.make_room().await;
+        let beyond = self.lines.len() >= self.front.max_connections + MOST_BEYOND;
         if beyond {
-            tracing::warn!(most = self.front.most, "too many callers: connection closed");
+            tracing::warn!(most = self.front.max_connections, "too many callers: connection closed");
             telemetry::caller_connection_closed("too many");
             return;
         }
         let no = self.next;
         self.next += 1;
-        let wrap = move |heard| FrontMail::Heard(no, heard);
+        let wrap = move |heard| PlatformMessage::Connection(no, heard);
         let within = Duration::from_secs_f64(WHOLE_WITHIN);
-        let (tasks, outboxes) = (&self.front.tasks, &self.front.outboxes);
-        let conn = Conn::open(tasks, outboxes, stream, self.front.mailbox.clone(), within, wrap);
+        let (tasks, send_queues) = (&self.front.tasks, &self.front.send_queues);
+        let conn =
+            ConnectionHandle::open(tasks, send_queues, stream, self.front.mailbox.clone(), within, wrap);
         let now = self.front.clock.now();
         let line = Line {
             conn,
@@ -249,7 +250,7 @@
         let spare = idle
             .min_by(|(_, a), (_, b)| rank(a).cmp(&rank(b)).then_with(|| a.active.0.total_cmp(&b.active.0)));
         let Some(spare) = spare.map(|(no, _)| *no) else { return false };
-        tracing::debug!(most = self.front.most, "many callers: an idle connection is closed");
+        tracing::debug!(most = self.front.max_connections, "many callers: an idle connection is closed");
         telemetry::caller_connection_closed("made room");
         self.close(spare).await;
         true
@@ -281,15 +282,15 @@
         if self.accepting == Accepting::Ended && self.lines.is_empty() {
             return;
         }
-        let next = (now + LOOK, Due::Front);
-        if self.front.alarms.send(next).await.is_err() {
+        let next = (now + LOOK, TimerKind::ConnectionCheck);
+        if self.front.timers.send(next).await.is_err() {
             tracing::error!("the clock is gone: idle connections stay");
         }
     }
 
     fn report(&self) {
-        let (callers, exchanges) = (self.lines.len(), self.front.permits.held());
-        telemetry::resources(callers, exchanges, self.front.outboxes.queued(), self.unsent.bytes());
+        let (callers, exchanges) = (self.lines.len(), self.front.permits.open_connections());
+        telemetry::resources(callers, exchanges, self.front.send_queues.queued(), self.unsent.bytes());
     }
 
     /// After SIGTERM: stops to accept once no caller has been connected for a while, and says so once none is left.
@@ -305,7 +306,7 @@
                 let _ = self.front.stop_accepting.try_send(());
             }
             Accepting::Ended if self.lines.is_empty() => {
-                post(&self.front.engine, EngineMail::CallersLeft).await;
+                post(&self.front.engine, EngineMessage::CallersDisconnected).await;
             }
             _ => {}
         }
@@ -316,11 +317,11 @@
     }
 
     async fn tell(&self, input: CallEvent) {
-        post(&self.front.engine, EngineMail::Input(input)).await;
+        post(&self.front.engine, EngineMessage::Input(input)).await;
     }
 
-    async fn over(&mut self, no: u64, over: Over) {
-        if !matches!(over, Over::Closed | Over::Broken(_)) {
+    async fn over(&mut self, no: u64, over: CloseReason) {
+        if !matches!(over, CloseReason::Closed | CloseReason::Broken(_)) {
             tracing::warn!(?over, "a caller's connection is closed");
         }
         self.close(no).await;
--- a/src/net/bulletin.rs
+++ b/src/net/roster.rs
@@ -14,7 +14,7 @@
 use smol::{future, Timer};
 use thiserror::Error;
 
-use super::engine::EngineMail;
+use super::engine::EngineMessage;
 use super::{post, with_timeout};
 use crate::interface::*;
 use crate::telemetry;
@@ -29,36 +29,36 @@
 
 /// Where the list is told, and what of it is known without asking.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Source {
+pub struct RosterSource {
     /// The bulletin's address.
     pub addr: SocketAddr,
     /// The events known.
-    pub known: Vec<Value>,
+    pub known_events: Vec<Value>,
     /// The number of the last of them.
-    pub known_no: u64,
+    pub last_known_event: u64,
 }
 
 /// Why what was heard is no good: it has to be asked for again.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum RosterError {
     /// The line is no JSON of the form wanted.
-    #[error("a line can't be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
+    #[error("unreadable roster event: {0}")]
+    Malformed(#[from] serde_json::Error),
     /// Events are missing.
-    #[error("it is at {said}, and {last} is the last event here")]
+    #[error("roster events are missing: discovery is at event {announced}, the last one here is {last}")]
     Gap {
         /// The last number known.
         last: u64,
         /// The number said.
-        said: u64,
+        announced: u64,
     },
 }
 
 /// One exchange of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedExchange {
     /// Its line for the module.
-    pub office: RosterEntry,
+    pub entry: RosterEntry,
     /// Where it listens.
     pub addr: SocketAddr,
 }
@@ -94,7 +94,7 @@
 
 /// The list as told so far: its last event, and the numbers given to the ids of exchanges that are not gone.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct RosterReader {
     last: u64,
     ids: BTreeMap<String, ExchangeId>,
     given: u64,
@@ -102,34 +102,34 @@
     asked: u64,
 }
 
-impl List {
+impl RosterReader {
     /// Reads one line. What is new comes with whether it is the whole list.
-    pub fn line(&mut self, line: &str) -> Result<Option<(bool, Vec<Listed>)>, Fault> {
+    pub fn read_line(&mut self, line: &str) -> Result<Option<(bool, Vec<ListedExchange>)>, RosterError> {
         let value: Value = serde_json::from_str(line)?;
         match value.as_u64() {
-            Some(said) => self.reaches(said).map(|()| None),
-            None => self.event(value),
+            Some(announced) => self.reaches(announced).map(|()| None),
+            None => self.apply_event(value),
         }
     }
 
     /// Checks that nothing up to a number is missing; the same number is complained of once.
-    fn reaches(&mut self, said: u64) -> Result<(), Fault> {
-        if said <= self.last.max(self.asked) {
+    fn reaches(&mut self, announced: u64) -> Result<(), RosterError> {
+        if announced <= self.last.max(self.asked) {
             return Ok(());
         }
-        self.asked = said;
-        Err(Fault::Gap { last: self.last, said })
+        self.asked = announced;
+        Err(RosterError::Gap { last: self.last, announced })
     }
 
     /// Takes events that need no asking, and passes on those that are new.
-    async fn known(&mut self, events: Vec<Value>, last: u64, engine: &Sender<EngineMail>) {
+    async fn known(&mut self, events: Vec<Value>, last: u64, engine: &Sender<EngineMessage>) {
         self.asked = u64::MAX;
         for value in events {
             // The first event ever is the whole list.
             let first = self.last == 0;
-            match self.event(value) {
-                Ok(Some((whole, listed))) => {
-                    post(engine, EngineMail::List { whole: whole || first, listed }).await;
+            match self.apply_event(value) {
+                Ok(Some((full, listed))) => {
+                    post(engine, EngineMessage::Roster { full: full || first, listed }).await;
                 }
                 Ok(None) => {}
                 Err(error) => tracing::error!(%error, "a known event can't be read"),
@@ -139,7 +139,7 @@
     }
 
     /// Reads one event.
-    pub fn event(&mut self, value: Value) -> Result<Option<(bool, Vec<Listed>)>, Fault> {
+    pub fn apply_event(&mut self, value: Value) -> Result<Option<(bool, Vec<ListedExchange>)>, RosterError> {
         let event = EventW::deserialize(value)?;
         if event.no <= self.last {
             return Ok(None);
@@ -166,11 +166,11 @@
             });
             let ready_at = (line.started_at_ms > 0.0).then_some(Time(line.started_at_ms / 1000.0));
             let (zone, number, weight) = (line.zone, ExchangeNumber(line.cell), line.weight);
-            let office = RosterEntry { id, zone, number, state: condition, weight, ready_at };
-            listed.push(Listed { office, addr: line.host_port });
+            let entry = RosterEntry { id, zone, number, state: condition, weight, ready_at };
+            listed.push(ListedExchange { entry, addr: line.host_port });
         }
         if roster.reset {
-            self.ids.retain(|_, id| listed.iter().any(|l| l.office.id == *id));
+            self.ids.retain(|_, id| listed.iter().any(|l| l.entry.id == *id));
         }
         self.ids.retain(|id, _| !gone.contains(id));
         Ok(Some((roster.reset, listed)))
@@ -180,12 +180,12 @@
 /// Why a connection is followed no longer.
 enum End {
     Lost(io::Error),
-    Moved(Source),
+    Moved(RosterSource),
 }
 
 /// Does something unless another source is named first. Nothing that is half handed on is ever cut short by that.
 async fn or_moved<T>(
-    sources: &Receiver<Source>,
+    sources: &Receiver<RosterSource>,
     work: impl Future<Output = io::Result<T>>,
 ) -> Result<T, End> {
     let moved = async {
@@ -198,19 +198,19 @@
 }
 
 /// Passes the known events on, then follows the bulletin for ever, wherever the latest source says it is.
-pub async fn run(mut source: Source, sources: Receiver<Source>, engine: Sender<EngineMail>) {
-    let mut list = List::default();
+pub async fn run(mut source: RosterSource, sources: Receiver<RosterSource>, engine: Sender<EngineMessage>) {
+    let mut reader = RosterReader::default();
     // How often the line behind the last event could not be read.
     let mut spoilt = (0, 0);
     loop {
-        list.known(std::mem::take(&mut source.known), source.known_no, &engine).await;
-        let moved = match follow(source.addr, &mut list, &sources, &engine, spoilt.1 >= PATIENCE).await {
+        reader.known(std::mem::take(&mut source.known_events), source.last_known_event, &engine).await;
+        let moved = match follow(source.addr, &mut reader, &sources, &engine, spoilt.1 >= PATIENCE).await {
             End::Moved(to) => Some(to),
             End::Lost(error) => {
-                tracing::warn!(%error, last = list.last, "bulletin lost: connecting again");
+                tracing::warn!(%error, last = reader.last, "bulletin lost: connecting again");
                 telemetry::discovery_lost();
-                let again = error.kind() == io::ErrorKind::InvalidData && list.last == spoilt.0;
-                spoilt = (list.last, if again { spoilt.1 + 1 } else { 0 });
+                let again = error.kind() == io::ErrorKind::InvalidData && reader.last == spoilt.0;
+                spoilt = (reader.last, if again { spoilt.1 + 1 } else { 0 });
                 let pause = async {
                     Timer::after(PAUSE).await;
                     Ok(())
@@ -222,7 +222,7 @@
             }
         };
         if let Some(to) = moved {
-            tracing::info!(bulletin = %to.addr, last = list.last, "following another bulletin");
+            tracing::info!(bulletin = %to.addr, last = reader.last, "following another bulletin");
             source = to;
         }
     }
@@ -230,14 +230,14 @@
 
 async fn follow(
     addr: SocketAddr,
-    list: &mut List,
-    sources: &Receiver<Source>,
-    engine: &Sender<EngineMail>,
+    reader: &mut RosterReader,
+    sources: &Receiver<RosterSource>,
+    engine: &Sender<EngineMessage>,
     pass_over: bool,
 ) -> End {
     let asked = async {
         let mut stream = with_timeout(SILENCE, TcpStream::connect(addr)).await?;
-        with_timeout(SILENCE, stream.write_all(format!("after {}\n", list.last).as_bytes())).await?;
+        with_timeout(SILENCE, stream.write_all(format!("after {}\n", reader.last).as_bytes())).await?;
         Ok(stream)
     };
     let mut stream = match or_moved(sources, asked).await {
@@ -259,10 +259,10 @@
             let line: Vec<u8> = held.drain(..=end).collect();
             let line = String::from_utf8_lossy(&line);
             heard = Instant::now();
-            match list.line(line.trim()) {
-                Ok(Some((whole, listed))) => post(engine, EngineMail::List { whole, listed }).await,
+            match reader.read_line(line.trim()) {
+                Ok(Some((full, listed))) => post(engine, EngineMessage::Roster { full, listed }).await,
                 Ok(None) => {}
-                Err(fault @ Fault::Unreadable(_)) if pass_over => {
+                Err(fault @ RosterError::Malformed(_)) if pass_over => {
                     tracing::error!(%fault, "a line of the bulletin is passed over");
                 }
                 Err(fault) => return End::Lost(io::Error::new(io::ErrorKind::InvalidData, fault)),
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -10,9 +10,9 @@
 use smol::net::{TcpListener, TcpStream, UdpSocket};
 use smol::Timer;
 
-use super::clock::{Alarms, Clock, Due};
-use super::conn::{Conn, Heard, Outboxes, Over};
-use super::engine::EngineMail;
+use super::clock::{Clock, TimerKind, TimerSender};
+use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
+use super::engine::EngineMessage;
 use super::{post, with_timeout, Tasks};
 use crate::calls::{CallerCommand, ExchangeCommand};
 use crate::interface::*;
@@ -29,11 +29,11 @@
 
 /// What the actor is told.
 #[derive(Debug)]
-pub enum SipMail {
+pub enum SipFrontMessage {
     /// The core answers a caller.
-    Near(CallId, CallerCommand),
+    ToCaller(CallId, CallerCommand),
     /// The core tells an exchange.
-    Far(ExchangeId, CallId, ExchangeCommand),
+    ToExchange(ExchangeId, CallId, ExchangeCommand),
     /// A datagram has come in.
     Datagram(SocketAddr, Vec<u8>),
     /// Somebody has connected.
@@ -41,9 +41,9 @@
     /// A connection of ours has come up, or has not.
     Connected(SocketAddr, std::io::Result<TcpStream>),
     /// A connection, by its far end and its number, brings something.
-    Heard(SocketAddr, u64, Heard),
+    Connection(SocketAddr, u64, ConnectionEvent),
     /// A timer has run down.
-    Woken(Alarm),
+    TimerExpired(Alarm),
 }
 
 /// What the actor needs.
@@ -53,24 +53,24 @@
     /// Its clock.
     pub clock: Clock,
     /// The core.
-    pub engine: Sender<EngineMail>,
+    pub engine: Sender<EngineMessage>,
     /// The own mailbox.
-    pub mailbox: Sender<SipMail>,
+    pub mailbox: Sender<SipFrontMessage>,
     /// The clock's actor.
-    pub alarms: Alarms,
+    pub timers: TimerSender,
     /// What waits to be written on all connections.
-    pub outboxes: Rc<Outboxes>,
+    pub send_queues: Rc<SendQueues>,
     /// How long a connection may take to come up.
     pub connect_timeout: Secs,
     /// The most connections.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 struct State {
     front: SipFront,
     agent: Agent,
     datagrams: Sender<(SocketAddr, Vec<u8>)>,
-    conns: BTreeMap<SocketAddr, (u64, Conn)>,
+    conns: BTreeMap<SocketAddr, (u64, ConnectionHandle)>,
     connecting: BTreeMap<SocketAddr, VecDeque<Message>>,
     next: u64,
     /// Datagrams that could not be read.
@@ -79,7 +79,7 @@
 
 impl SipFront {
     /// Runs for ever.
-    pub async fn run(self, setup: Setup, udp: UdpSocket, tcp: TcpListener, mail: Receiver<SipMail>) {
+    pub async fn run(self, setup: Setup, udp: UdpSocket, tcp: TcpListener, mail: Receiver<SipFrontMessage>) {
         let (datagrams, queue) = bounded(WAITING);
         self.tasks.spawn(send(udp.clone(), queue)).detach();
         self.tasks.spawn(receive(udp, self.mailbox.clone())).detach();
@@ -111,21 +111,21 @@
     }
 }
 
-async fn receive(udp: UdpSocket, mailbox: Sender<SipMail>) {
+async fn receive(udp: UdpSocket, mailbox: Sender<SipFrontMessage>) {
     let mut bytes = vec![0; MOST + 1];
     loop {
         match udp.recv_from(&mut bytes).await {
-            Ok((n, addr)) => post(&mailbox, SipMail::Datagram(addr, bytes[..n].to_vec())).await,
+            Ok((n, addr)) => post(&mailbox, SipFrontMessage::Datagram(addr, bytes[..n].to_vec())).await,
             // An earlier datagram met a closed port; its timers see to it.
             Err(error) => tracing::debug!(%error, "no datagram could be received"),
         }
     }
 }
 
-async fn accept(tcp: TcpListener, mailbox: Sender<SipMail>) {
+async fn accept(tcp: TcpListener, mailbox: Sender<SipFrontMessage>) {
     loop {
         match tcp.accept().await {
-            Ok((stream, addr)) => post(&mailbox, SipMail::Accepted(stream, addr)).await,
+            Ok((stream, addr)) => post(&mailbox, SipFrontMessage::Accepted(stream, addr)).await,
             Err(error) => {
                 tracing::error!(%error, "no connection could be accepted");
                 Timer::after(Duration::from_millis(20)).await;
@@ -139,33 +139,36 @@
 }
 
 impl State {
-    fn take(&mut self, mail: SipMail, out: &mut Vec<Output>) {
+    fn take(&mut self, mail: SipFrontMessage, out: &mut Vec<Output>) {
         let now = self.front.clock.now();
         match mail {
-            SipMail::Near(id, near) => self.agent.near(now, id, near, out),
-            SipMail::Far(office, id, far) => self.agent.far(now, office, id, far, out),
-            SipMail::Woken(alarm) => self.agent.fired(now, alarm, out),
-            SipMail::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, out),
-            SipMail::Accepted(stream, addr) => {
-                if self.conns.len() >= self.front.most {
-                    tracing::warn!(most = self.front.most, "too many SIP connections: one is closed");
+            SipFrontMessage::ToCaller(id, near) => self.agent.near(now, id, near, out),
+            SipFrontMessage::ToExchange(office, id, far) => self.agent.far(now, office, id, far, out),
+            SipFrontMessage::TimerExpired(alarm) => self.agent.fired(now, alarm, out),
+            SipFrontMessage::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, out),
+            SipFrontMessage::Accepted(stream, addr) => {
+                if self.conns.len() >= self.front.max_connections {
+                    tracing::warn!(
+                        most = self.front.max_connections,
+                        "too many SIP connections: one is closed"
+                    );
                     return;
                 }
                 self.open(addr, stream);
             }
-            SipMail::Connected(addr, Ok(stream)) => {
+            SipFrontMessage::Connected(addr, Ok(stream)) => {
                 let waiting = self.connecting.remove(&addr).unwrap_or_default();
                 self.open(addr, stream);
                 for message in waiting {
                     self.write(addr, &message);
                 }
             }
-            SipMail::Connected(addr, Err(error)) => {
+            SipFrontMessage::Connected(addr, Err(error)) => {
                 tracing::info!(%addr, %error, "no SIP connection came up");
                 self.connecting.remove(&addr);
                 self.agent.broken(now, tcp(addr), Failure::Unreached, out);
             }
-            SipMail::Heard(addr, no, heard) => {
+            SipFrontMessage::Connection(addr, no, heard) => {
                 if self.conns.get(&addr).is_some_and(|(held, _)| *held == no) {
                     self.heard(now, addr, heard, out);
                 }
@@ -195,9 +198,16 @@
     fn open(&mut self, addr: SocketAddr, stream: TcpStream) {
         self.next += 1;
         let no = self.next;
-        let wrap = move |heard| SipMail::Heard(addr, no, heard);
-        let (tasks, outboxes) = (&self.front.tasks, &self.front.outboxes);
-        let conn = Conn::open(tasks, outboxes, stream, self.front.mailbox.clone(), WHOLE_WITHIN, wrap);
+        let wrap = move |heard| SipFrontMessage::Connection(addr, no, heard);
+        let (tasks, send_queues) = (&self.front.tasks, &self.front.send_queues);
+        let conn = ConnectionHandle::open(
+            tasks,
+            send_queues,
+            stream,
+            self.front.mailbox.clone(),
+            WHOLE_WITHIN,
+            wrap,
+        );
         self.conns.insert(addr, (no, conn));
     }
 
@@ -205,10 +215,10 @@
         self.conns.get(&addr).is_some_and(|(_, conn)| conn.write(message))
     }
 
-    fn heard(&mut self, now: Time, addr: SocketAddr, heard: Heard, out: &mut Vec<Output>) {
+    fn heard(&mut self, now: Time, addr: SocketAddr, heard: ConnectionEvent, out: &mut Vec<Output>) {
         match heard {
-            Heard::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, out),
-            Heard::Message(Err(fault)) => {
+            ConnectionEvent::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, out),
+            ConnectionEvent::Message(Err(fault)) => {
                 tracing::warn!(%addr, %fault, "malformed SIP message");
                 let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
                 if known && !fault.response {
@@ -219,8 +229,8 @@
                     self.agent.broken(now, tcp(addr), Failure::Broken, out);
                 }
             }
-            Heard::Over(over) => {
-                if !matches!(over, Over::Closed) {
+            ConnectionEvent::Ended(over) => {
+                if !matches!(over, CloseReason::Closed) {
                     tracing::info!(%addr, ?over, "SIP connection lost");
                 }
                 self.conns.remove(&addr);
@@ -234,11 +244,11 @@
             match output {
                 Output::Send(hop, alt, message) => self.send(hop, alt, message),
                 Output::Wake(at, alarm) => {
-                    if self.front.alarms.try_send((at, Due::Sip(alarm))).is_err() {
+                    if self.front.timers.try_send((at, TimerKind::Sip(alarm))).is_err() {
                         tracing::error!("the clock has ended: an alarm is lost");
                     }
                 }
-                Output::Core(input) => post(&self.front.engine, EngineMail::Input(input)).await,
+                Output::Core(input) => post(&self.front.engine, EngineMessage::Input(input)).await,
             }
         }
     }
@@ -270,7 +280,7 @@
         let limit = Duration::from_secs_f64(self.front.connect_timeout);
         let connect = async move {
             let got = with_timeout(limit, TcpStream::connect(addr)).await;
-            post(&mailbox, SipMail::Connected(addr, got)).await;
+            post(&mailbox, SipFrontMessage::Connected(addr, got)).await;
         };
         self.front.tasks.spawn(connect).detach();
     }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -32,7 +32,7 @@
     let platform = config.platform.expect("the platform's front is on");
     assert_eq!(platform.listen.to_string(), "127.0.0.2:1");
     assert_eq!(
-        (config.name.as_str(), config.seed, platform.source.known_no),
+        (config.name.as_str(), config.seed, platform.source.last_known_event),
         ("n3", 0x8c1f_30d2_7a5b_e964, 3)
     );
     assert_eq!(config.connect_timeout, 0.25);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! Every parser on random cuts of valid input and on random garbage, from fixed seeds.
 
 use mallowring::admin::{http, netconf, xml};
-use mallowring::net::bulletin::List;
+use mallowring::net::roster::RosterReader;
 use mallowring::sip::header::{self, Uri, Via};
 use mallowring::sip::message::{Framer, Message};
 use mallowring::wire::Host;
@@ -85,8 +85,8 @@
 {"no":9,"other":{}}
 "#;
     try_out(valid, |pieces| {
-        let mut list = List::default();
-        lines(pieces, |line| format!("{:?}", list.line(line).map_err(|e| e.to_string())))
+        let mut reader = RosterReader::default();
+        lines(pieces, |line| format!("{:?}", reader.read_line(line).map_err(|e| e.to_string())))
     });
 }
 
@@ -94,14 +94,14 @@
 /// written twice counts once.
 #[test]
 fn a_gap_in_the_bulletin_is_asked_for_again() {
-    let mut list = List::default();
+    let mut reader = RosterReader::default();
     let event = |no: u64, id: &str, state: &str| {
         format!(
             r#"{{"no":{no},"roster":{{"instances":[{{"instanceId":"{id}","hostPort":"10.1.0.9:1","cell":2,"lifecycle":"{state}"}}]}}}}"#
         )
     };
-    let mut id_of = |line: &str| match list.line(line) {
-        Ok(Some((_, listed))) => format!("{:?}", listed[0].office.id.0),
+    let mut id_of = |line: &str| match reader.read_line(line) {
+        Ok(Some((_, listed))) => format!("{:?}", listed[0].entry.id.0),
         Ok(None) => "old".to_owned(),
         Err(_) => "again".to_owned(),
     };
