--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -18,20 +18,20 @@
 /// Unix time as it was at the start plus what has passed since: it never goes back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Secs,
+    unix_start: Secs,
     start: Instant,
 }
 
 impl Clock {
     /// A clock set by the system's.
     pub fn system() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_secs_f64(), start: Instant::now() }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_start: unix_start.as_secs_f64(), start: Instant::now() }
     }
 
     /// Seconds of Unix time.
     pub fn now(&self) -> Time {
-        Time(self.unix + self.start.elapsed().as_secs_f64())
+        Time(self.unix_start + self.start.elapsed().as_secs_f64())
     }
 }
 
@@ -59,26 +59,26 @@
 ) {
     let mut wheel = Wheel::new(clock.now());
     loop {
-        let got = match wheel.next() {
+        let received = match wheel.next() {
             None => mailbox.recv().await.map(Some),
-            Some(due) => {
-                let wait = Duration::from_secs_f64((due - clock.now()).max(0.0));
-                let tick = async {
+            Some(next) => {
+                let wait = Duration::from_secs_f64((next - clock.now()).max(0.0));
+                let expiry = async {
                     Timer::after(wait).await;
                     Ok(None)
                 };
-                future::or(async { mailbox.recv().await.map(Some) }, tick).await
+                future::or(async { mailbox.recv().await.map(Some) }, expiry).await
             }
         };
-        match got {
-            Ok(Some((at, due))) => wheel.add(at, due),
+        match received {
+            Ok(Some((at, kind))) => wheel.add(at, kind),
             Ok(None) => {}
             Err(_) => return,
         }
-        for due in wheel.due(clock.now()) {
-            match (due, &sip) {
-                (TimerKind::Call(wake), _) => {
-                    post(&engine, EngineMessage::Input(CallEvent::TimerExpired(wake))).await
+        for kind in wheel.due(clock.now()) {
+            match (kind, &sip) {
+                (TimerKind::Call(timer), _) => {
+                    post(&engine, EngineMessage::Input(CallEvent::TimerExpired(timer))).await
                 }
                 (TimerKind::Sip(alarm), Some(sip)) => post(sip, SipFrontMessage::TimerExpired(alarm)).await,
                 (TimerKind::Sip(_), None) => {}
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -19,12 +19,12 @@
 use crate::telemetry;
 
 /// A test passes after this time even if a state is still missing.
-const PATIENCE: Duration = Duration::from_secs(3);
+const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
 /// After SIGTERM requests keep coming for a while, on the SIP front too.
-const LINGER: Secs = 1.0;
+const MIN_DRAIN_TIME: Secs = 1.0;
 /// Between two summaries of the counters in the log.
-const SUMMARY: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(50);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(60);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the actor is told.
 #[derive(Debug)]
@@ -82,32 +82,33 @@
 
 impl Engine {
     /// Runs until the program has drained.
-    pub async fn run(mut self, mail: Receiver<EngineMessage>) {
+    pub async fn run(mut self, messages: Receiver<EngineMessage>) {
         let mut peers: BTreeMap<ExchangeId, Sender<PeerActorMessage>> = BTreeMap::new();
-        let mut commands = Vec::new();
-        let (mut ready, mut patient) = (false, true);
-        let mut drain_at: Option<Time> = None;
+        let mut effects = Vec::new();
+        let (mut ready, mut awaiting_status) = (false, true);
+        let mut drain_started: Option<Time> = None;
         let mut shutdown: Option<Shutdown> = None;
-        let mut callers_left = self.platform.is_none();
-        self.later(PATIENCE, || EngineMessage::ReadinessTimeout);
-        self.later(SUMMARY, || EngineMessage::LogSummary);
-        while let Ok(mail) = mail.recv().await {
+        let mut callers_disconnected = self.platform.is_none();
+        self.post_later(READINESS_TIMEOUT, || EngineMessage::ReadinessTimeout);
+        self.post_later(SUMMARY_INTERVAL, || EngineMessage::LogSummary);
+        while let Ok(message) = messages.recv().await {
             let now = self.clock.now();
-            tracing::trace!(?mail);
-            match mail {
-                EngineMessage::Input(input) => self.table.handle(now, input, &mut commands),
+            tracing::trace!(mail = ?message);
+            match message {
+                EngineMessage::Input(input) => self.table.handle(now, input, &mut effects),
                 EngineMessage::Roster { full, listed } => {
                     tracing::info!(whole = full, lines = listed.len(), "list");
-                    let gone = self.follow(full, &listed, &mut peers);
-                    let mut offices: Vec<_> = listed.into_iter().map(|l| l.entry).collect();
+                    let removed = self.apply_roster(full, &listed, &mut peers);
+                    let mut entries: Vec<_> =
+                        listed.into_iter().map(|listed_exchange| listed_exchange.entry).collect();
                     if full {
-                        offices.extend(self.sip_exchanges.iter().cloned());
+                        entries.extend(self.sip_exchanges.iter().cloned());
                     }
-                    self.table.handle(now, CallEvent::Roster { full, entries: offices }, &mut commands);
-                    self.carry_out(&mut commands, &peers).await;
-                    for office in gone {
-                        if let Some(peer) = peers.remove(&office) {
-                            self.inform(&peer, PeerActorMessage::StateChanged(ServiceState::Removed));
+                    self.table.handle(now, CallEvent::Roster { full, entries }, &mut effects);
+                    self.apply_effects(&mut effects, &peers).await;
+                    for exchange_id in removed {
+                        if let Some(peer) = peers.remove(&exchange_id) {
+                            self.send_to_peer(&peer, PeerActorMessage::StateChanged(ServiceState::Removed));
                         }
                     }
                 }
@@ -119,21 +120,23 @@
                     tracing::info!(?changes, "tenants changed");
                     let _ = reply.try_send(self.table.tenants_mut().change(&changes));
                 }
-                EngineMessage::ReadinessTimeout => patient = false,
+                EngineMessage::ReadinessTimeout => awaiting_status = false,
                 EngineMessage::Drain => {
                     tracing::info!(open = self.table.open(), standing = self.table.standing(), "draining");
-                    drain_at = drain_at.or(Some(now));
-                    let begun = *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
+                    drain_started = drain_started.or(Some(now));
+                    let active_shutdown =
+                        *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
                     if let Some(platform) = self.platform.clone() {
                         // This actor waits for no other.
-                        let told = async move { post(&platform, PlatformMessage::Drain(begun)).await };
-                        self.tasks.spawn(told).detach();
+                        let send_drain =
+                            async move { post(&platform, PlatformMessage::Drain(active_shutdown)).await };
+                        self.tasks.spawn(send_drain).detach();
                     }
-                    self.later(LOOK, || EngineMessage::CheckDrained);
+                    self.post_later(DRAIN_CHECK_INTERVAL, || EngineMessage::CheckDrained);
                 }
                 EngineMessage::CheckDrained => {
-                    let waited = drain_at.is_some_and(|at| now - at >= LINGER);
-                    if waited && callers_left && self.table.open() + self.table.standing() == 0 {
+                    let lingered = drain_started.is_some_and(|at| now - at >= MIN_DRAIN_TIME);
+                    if lingered && callers_disconnected && self.table.open() + self.table.standing() == 0 {
                         tracing::info!(counters = telemetry::summary(), "drained");
                         return;
                     }
@@ -141,19 +144,19 @@
                         self.table.stop_admitting();
                     }
                     if shutdown.is_some_and(|s| s.must_conclude(now)) {
-                        self.table.refuse_open(&mut commands);
+                        self.table.refuse_open(&mut effects);
                     }
-                    self.later(LOOK, || EngineMessage::CheckDrained);
+                    self.post_later(DRAIN_CHECK_INTERVAL, || EngineMessage::CheckDrained);
                 }
-                EngineMessage::CallersDisconnected => callers_left = true,
+                EngineMessage::CallersDisconnected => callers_disconnected = true,
                 EngineMessage::LogSummary => {
                     telemetry::call_records(self.table.held_bytes());
                     tracing::info!(counters = telemetry::summary(), "counters since the start");
-                    self.later(SUMMARY, || EngineMessage::LogSummary);
+                    self.post_later(SUMMARY_INTERVAL, || EngineMessage::LogSummary);
                 }
             }
-            self.carry_out(&mut commands, &peers).await;
-            if !ready && (self.table.informed() || !patient) {
+            self.apply_effects(&mut effects, &peers).await;
+            if !ready && (self.table.informed() || !awaiting_status) {
                 ready = true;
                 tracing::info!(informed = self.table.informed(), "ready");
                 if let Some(platform) = &self.platform {
@@ -163,104 +166,113 @@
         }
     }
 
-    fn later(&self, after: Duration, mail: fn() -> EngineMessage) {
+    fn post_later(&self, after: Duration, message: fn() -> EngineMessage) {
         let mailbox = self.mailbox.clone();
         let wait = async move {
             Timer::after(after).await;
-            post(&mailbox, mail()).await;
+            post(&mailbox, message()).await;
         };
         self.tasks.spawn(wait).detach();
     }
 
     /// Tells an exchange's actor of news.
-    fn inform(&self, peer: &Sender<PeerActorMessage>, news: PeerActorMessage) {
+    fn send_to_peer(&self, peer: &Sender<PeerActorMessage>, message: PeerActorMessage) {
         // Its mailbox has no bound, and it ends by such news alone.
-        let _ = peer.try_send(news);
+        let _ = peer.try_send(message);
     }
 
     /// Starts an actor for every new exchange and tells the others; returns those that are gone.
-    fn follow(
+    fn apply_roster(
         &self,
         full: bool,
         listed: &[ListedExchange],
         peers: &mut BTreeMap<ExchangeId, Sender<PeerActorMessage>>,
     ) -> Vec<ExchangeId> {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for ListedExchange { entry, addr } in listed {
             let id = entry.id;
             match entry.state {
-                ServiceState::Removed => gone.push(id),
-                condition if self.own_exchange != Some(entry.number) => {
+                ServiceState::Removed => removed.push(id),
+                state if self.own_exchange != Some(entry.number) => {
                     let start = || peer::start(self.peer_context.clone(), id, *addr);
                     let peer = peers.entry(id).or_insert_with(start);
-                    self.inform(peer, PeerActorMessage::StateChanged(condition));
+                    self.send_to_peer(peer, PeerActorMessage::StateChanged(state));
                     if let Some(at) = entry.ready_at {
-                        self.inform(peer, PeerActorMessage::StartedAt(at));
+                        self.send_to_peer(peer, PeerActorMessage::StartedAt(at));
                     }
                 }
                 _ => {}
             }
         }
         if full {
-            gone.extend(peers.keys().filter(|id| !listed.iter().any(|l| l.entry.id == **id)));
+            removed.extend(
+                peers
+                    .keys()
+                    .filter(|id| !listed.iter().any(|listed_exchange| listed_exchange.entry.id == **id)),
+            );
         }
-        gone
+        removed
     }
 
-    async fn carry_out(
+    async fn apply_effects(
         &mut self,
-        commands: &mut Vec<CallEffect>,
+        effects: &mut Vec<CallEffect>,
         peers: &BTreeMap<ExchangeId, Sender<PeerActorMessage>>,
     ) {
         // A command that can't be delivered may bring more.
-        while !commands.is_empty() {
-            for command in std::mem::take(commands) {
-                tracing::trace!(?command);
-                match command {
-                    CallEffect::Caller(front, id, near) => {
-                        let told = match front {
+        while !effects.is_empty() {
+            for effect in std::mem::take(effects) {
+                tracing::trace!(command = ?effect);
+                match effect {
+                    CallEffect::Caller(front, id, caller_command) => {
+                        let delivered = match front {
                             Front::Platform => {
-                                let mail = PlatformMessage::ToCaller(id, near);
-                                self.platform.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
+                                let message = PlatformMessage::ToCaller(id, caller_command);
+                                self.platform.as_ref().is_some_and(|front| front.try_send(message).is_ok())
                             }
                             Front::Sip => {
-                                let mail = SipFrontMessage::ToCaller(id, near);
-                                self.sip.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
+                                let message = SipFrontMessage::ToCaller(id, caller_command);
+                                self.sip.as_ref().is_some_and(|front| front.try_send(message).is_ok())
                             }
                         };
-                        if !told {
+                        if !delivered {
                             tracing::error!("a front has ended: an answer is lost");
                         }
                     }
-                    CallEffect::Exchange(office, id, far) => {
-                        let set_up = match &far {
+                    CallEffect::Exchange(exchange_id, id, exchange_command) => {
+                        let set_up_leg = match &exchange_command {
                             ExchangeCommand::SetUp(set_up) => Some(set_up.leg),
                             _ => None,
                         };
-                        let sent = if self.sip_exchanges.iter().any(|o| o.id == office) {
-                            let mail = SipFrontMessage::ToExchange(office, id.clone(), far);
-                            self.sip.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
-                        } else {
-                            let mail = PeerActorMessage::Command(id.clone(), far);
-                            peers.get(&office).is_some_and(|peer| peer.try_send(mail).is_ok())
-                        };
-                        if let (false, Some(leg)) = (sent, set_up) {
-                            tracing::warn!(office = office.0, "no way to an exchange: its set-up never left");
-                            let (outcome, why) = (Outcome::ConnectFailed, Cause::Unspecified);
+                        let delivered_to_exchange =
+                            if self.sip_exchanges.iter().any(|entry| entry.id == exchange_id) {
+                                let message =
+                                    SipFrontMessage::ToExchange(exchange_id, id.clone(), exchange_command);
+                                self.sip.as_ref().is_some_and(|front| front.try_send(message).is_ok())
+                            } else {
+                                let message = PeerActorMessage::Command(id.clone(), exchange_command);
+                                peers.get(&exchange_id).is_some_and(|peer| peer.try_send(message).is_ok())
+                            };
+                        if let (false, Some(leg)) = (delivered_to_exchange, set_up_leg) {
+                            tracing::warn!(
+                                office = exchange_id.0,
+                                "no way to an exchange: its set-up never left"
+                            );
+                            let (outcome, cause) = (Outcome::ConnectFailed, Cause::Unspecified);
                             let (leg, report) = (Some(leg), LoadReport::default());
                             let input = CallEvent::SetUpFailed {
                                 id,
-                                exchange: office,
+                                exchange: exchange_id,
                                 leg,
                                 outcome,
-                                cause: why,
+                                cause,
                                 report,
                             };
-                            self.table.handle(self.clock.now(), input, commands);
+                            self.table.handle(self.clock.now(), input, effects);
                         }
                     }
-                    CallEffect::StartTimer(at, wake) => {
-                        if self.timers.try_send((at, TimerKind::Call(wake))).is_err() {
+                    CallEffect::StartTimer(at, timer) => {
+                        if self.timers.try_send((at, TimerKind::Call(timer))).is_err() {
                             tracing::error!("the clock has ended: an alarm is lost");
                         }
                     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -41,28 +41,28 @@
 const BACKPRESSURE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Hands something from outside to an actor once it has caught up; returns whether the actor is there.
-pub(crate) async fn post_throttled<M>(mailbox: &Sender<M>, mail: M) -> bool {
+pub(crate) async fn post_throttled<M>(mailbox: &Sender<M>, messages: M) -> bool {
     while mailbox.len() >= BACKPRESSURE_THRESHOLD {
         Timer::after(BACKPRESSURE_POLL_INTERVAL).await;
     }
-    mailbox.send(mail).await.is_ok()
+    mailbox.send(messages).await.is_ok()
 }
 
 /// Sends to a mailbox; when its actor has ended the program ends as well.
-pub(crate) async fn post<M>(mailbox: &Sender<M>, mail: M) {
-    let _ = mailbox.send(mail).await;
+pub(crate) async fn post<M>(mailbox: &Sender<M>, messages: M) {
+    let _ = mailbox.send(messages).await;
 }
 
 /// Does something, or gives up after a time.
 pub(crate) async fn with_timeout<T>(
-    limit: Duration,
+    timeout: Duration,
     work: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
-    let late = async {
-        Timer::after(limit).await;
+    let expired = async {
+        Timer::after(timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, expired).await
 }
 
 /// A signalling proxy whose sockets are bound.
@@ -132,7 +132,7 @@
         let clock = clock::Clock::system();
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
         let origin = config.origin.clone();
-        let mut sources = None;
+        let mut roster_sources = None;
         let (engine, engine_messages) = unbounded();
         let (timers, timer_requests) = unbounded();
         let descriptors = DescriptorPlan::new(config.sockets, config.admin.is_some());
@@ -141,12 +141,12 @@
         let send_queues = SendQueues::new(memory.queues);
         let permits = Permits::new(clock, descriptors.exchanges);
         let mut front = None;
-        if let (Some(listener), Some(at)) = (platform, config.platform) {
-            let (mailbox, mail) = unbounded();
-            let (follow, followed) = bounded(1);
-            let (stop_accepting, accepting_stopped) = bounded(1);
-            sources = Some(follow);
-            tasks.spawn(roster::run(at.source, followed, engine.clone())).detach();
+        if let (Some(listener), Some(platform_config)) = (platform, config.platform) {
+            let (mailbox, messages) = unbounded();
+            let (source_sender, source_updates) = bounded(1);
+            let (stop_accepting, stop_requests) = bounded(1);
+            roster_sources = Some(source_sender);
+            tasks.spawn(roster::run(platform_config.source, source_updates, engine.clone())).detach();
             let platform = platform::PlatformFront {
                 tasks: tasks.clone(),
                 engine: engine.clone(),
@@ -159,18 +159,18 @@
                 max_release_bytes: memory.releases,
                 stop_accepting,
             };
-            tasks.spawn(platform.run(mail)).detach();
-            tasks.spawn(platform::accept(listener, accepting_stopped, mailbox.clone())).detach();
-            tracing::info!(name = config.name, listen = %at.listen, "started");
+            tasks.spawn(platform.run(messages)).detach();
+            tasks.spawn(platform::accept(listener, stop_requests, mailbox.clone())).detach();
+            tracing::info!(name = config.name, listen = %platform_config.listen, "started");
             front = Some(mailbox);
         }
         let mut sip_front = None;
         let mut sip_exchanges = Vec::new();
-        if let (Some((udp, tcp)), Some(at)) = (sip, config.sip) {
-            let (mailbox, mail) = unbounded();
+        if let (Some((udp, tcp)), Some(sip_config)) = (sip, config.sip) {
+            let (mailbox, messages) = unbounded();
             let addr = udp.local_addr()?;
             tracing::info!(name = config.name, listen = %addr, "SIP over UDP and TCP started");
-            sip_exchanges = at.exchanges.iter().map(|e| e.line()).collect();
+            sip_exchanges = sip_config.exchanges.iter().map(|e| e.line()).collect();
             let class = |c: &crate::interface::Class| ClassOfCall {
                 name: c.name.clone(),
                 give_up: c.give_up_after,
@@ -179,8 +179,8 @@
             let setup = Setup {
                 addr,
                 classes: config.settings.classes.iter().map(class).collect(),
-                urgent: at.urgent_class,
-                exchanges: at.exchanges,
+                urgent: sip_config.urgent_class,
+                exchanges: sip_config.exchanges,
                 seed: config.seed ^ 0x51b,
             };
             let sip = sip::SipFront {
@@ -193,7 +193,7 @@
                 connect_timeout: config.connect_timeout,
                 max_connections: config.sockets / 3,
             };
-            tasks.spawn(sip.run(setup, udp, tcp, mail)).detach();
+            tasks.spawn(sip.run(setup, udp, tcp, messages)).detach();
             sip_front = Some(mailbox);
         }
         tasks
@@ -209,41 +209,41 @@
                 tasks.spawn(server.run(listener)).detach();
             }
         }
-        let (drain, again) = (engine.clone(), reload.0);
-        let signalled = async move {
+        let (drain_requests, reload_requests) = (engine.clone(), reload.0);
+        let handle_signals = async move {
             while let Some(signal) = signals.next().await {
                 match signal {
                     // One that waits already reads the same file.
-                    Ok(Signal::Hup) => drop(again.try_send(())),
-                    _ => post(&drain, engine::EngineMessage::Drain).await,
+                    Ok(Signal::Hup) => drop(reload_requests.try_send(())),
+                    _ => post(&drain_requests, engine::EngineMessage::Drain).await,
                 }
             }
         };
-        tasks.spawn(signalled).detach();
+        tasks.spawn(handle_signals).detach();
         let reloads = reload.1;
-        let reloaded = async move {
+        let reload_sources = async move {
             let mut origin = origin;
             while reloads.recv().await.is_ok() {
                 if let Some(source) = origin.again() {
-                    if let Some(sources) = &sources {
-                        let _ = sources.send(source).await;
+                    if let Some(roster_sources) = &roster_sources {
+                        let _ = roster_sources.send(source).await;
                     }
                 }
             }
         };
-        tasks.spawn(reloaded).detach();
-        let drain = engine.clone();
-        let told = async move {
+        tasks.spawn(reload_sources).detach();
+        let drain_requests = engine.clone();
+        let handle_stop = async move {
             while stop.1.recv().await.is_ok() {
-                post(&drain, engine::EngineMessage::Drain).await;
+                post(&drain_requests, engine::EngineMessage::Drain).await;
             }
         };
-        tasks.spawn(told).detach();
+        tasks.spawn(handle_stop).detach();
         let own_exchange = config.settings.own_exchange;
         let longest_deadline = config.settings.classes.iter().map(|c| c.give_up_after).fold(0.0, f64::max);
         let mut table = Table::new(config.settings, Tenants::new(config.tenants), config.seed, clock.now());
         table.limit_bytes(memory.calls);
-        let module = engine::Engine {
+        let engine_actor = engine::Engine {
             table,
             clock,
             tasks: tasks.clone(),
@@ -264,7 +264,7 @@
             sip: sip_front,
             sip_exchanges,
         };
-        module.run(engine_messages).await;
+        engine_actor.run(engine_messages).await;
         // What is queued on connections goes out.
         Timer::after(Duration::from_millis(50)).await;
         Ok(())
@@ -273,13 +273,13 @@
 
 /// Binds one port for UDP and TCP. Where any port will do, one that is free for both is looked for.
 fn bind_both(addr: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
-    let mut tries = if addr.port() == 0 { 50 } else { 1 };
+    let mut attempts_left = if addr.port() == 0 { 50 } else { 1 };
     loop {
-        tries -= 1;
+        attempts_left -= 1;
         let udp = Async::<std::net::UdpSocket>::bind(addr)?;
         match Async::<std::net::TcpListener>::bind(udp.get_ref().local_addr()?) {
             Ok(tcp) => return Ok((udp.into(), tcp.into())),
-            Err(error) if tries == 0 => return Err(error),
+            Err(error) if attempts_left == 0 => return Err(error),
             Err(_) => {}
         }
     }
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -71,190 +71,196 @@
 }
 
 /// One connection.
-struct Connection {
-    conn: ConnectionHandle,
+struct PeerConnection {
+    handle: ConnectionHandle,
     _permit: Permit,
     /// When it came up.
-    since: Time,
+    connected_at: Time,
     /// When it last brought anything.
-    heard: Time,
+    last_received: Time,
     /// When it last brought an answer to a set-up.
-    answered: Time,
+    last_answer: Time,
     /// Set-ups that were lost or ran out since.
-    doubts: u32,
+    unanswered_set_ups: u32,
     /// Set-ups open on it.
-    open: BTreeMap<CallId, PendingInvite>,
+    pending_set_ups: BTreeMap<CallId, PendingInvite>,
 }
 
 /// A set-up that is out.
 struct PendingInvite {
     leg: u32,
     width: u32,
-    sent: Time,
-    until: Time,
+    sent_at: Time,
+    expires_at: Time,
     /// It stands in this exchange's line alone: what overtakes it there shows that it is lost.
     direct: bool,
 }
 
 struct Peer {
-    office: ExchangeId,
+    exchange: ExchangeId,
     addr: SocketAddr,
     context: PeerContext,
     own_mailbox: Sender<PeerActorMessage>,
-    condition: ServiceState,
+    service_state: ServiceState,
     /// Connections by number; what one that is no longer here still brings is ignored.
-    connections: BTreeMap<u64, Connection>,
+    connections: BTreeMap<u64, PeerConnection>,
     /// Connections whose way out is closed, for what the other side still says.
     retired: BTreeMap<u64, (ConnectionHandle, Permit)>,
-    next: u64,
+    next_connection_id: u64,
     connecting: usize,
     /// A try to connect is due.
-    retrying: bool,
+    reconnect_scheduled: bool,
     /// The last connection was lost and no new one has come up since.
-    suspect: bool,
+    last_connection_lost: bool,
     /// The latest sending of a set-up that stands.
-    latest_answered: Time,
+    latest_answered_send: Time,
     /// What waits for a connection.
-    waiting: VecDeque<(CallId, ExchangeCommand)>,
-    given_up: VecDeque<CallId>,
+    queued_commands: VecDeque<(CallId, ExchangeCommand)>,
+    cancelled: VecDeque<CallId>,
     liveness: Liveness,
     /// When the next liveness check is due, if one is under way.
-    check_at: Option<Time>,
+    next_check_at: Option<Time>,
     /// The last check came late and was put off.
-    put_off: bool,
+    check_postponed: bool,
     /// A connection opened for a liveness check that has brought nothing yet.
-    verifying: Option<u64>,
+    verifying_connection: Option<u64>,
     /// The next connection that comes up is one.
     verify_next: bool,
     /// What the budget of connections was last told.
-    busy: bool,
+    reported_busy: bool,
 }
 
 /// Starts the actor; it ends when its exchange is gone.
-pub fn start(context: PeerContext, office: ExchangeId, addr: SocketAddr) -> Sender<PeerActorMessage> {
+pub fn start(context: PeerContext, exchange: ExchangeId, addr: SocketAddr) -> Sender<PeerActorMessage> {
     // What is posted here is bounded by those who post: calls by their records, connections by the readers' turns.
-    let (mailbox, mail) = unbounded();
-    context.permits.add_exchange(office, mailbox.clone());
+    let (mailbox, messages) = unbounded();
+    context.permits.add_exchange(exchange, mailbox.clone());
     let peer = Peer {
-        office,
+        exchange,
         addr,
         own_mailbox: mailbox.clone(),
-        condition: ServiceState::InService,
+        service_state: ServiceState::InService,
         connections: BTreeMap::new(),
         retired: BTreeMap::new(),
-        next: 0,
+        next_connection_id: 0,
         connecting: 0,
-        retrying: false,
-        suspect: false,
-        latest_answered: context.clock.now(),
-        waiting: VecDeque::new(),
-        given_up: VecDeque::new(),
+        reconnect_scheduled: false,
+        last_connection_lost: false,
+        latest_answered_send: context.clock.now(),
+        queued_commands: VecDeque::new(),
+        cancelled: VecDeque::new(),
         liveness: Liveness::new(Timing::default()),
-        check_at: None,
-        put_off: false,
-        verifying: None,
+        next_check_at: None,
+        check_postponed: false,
+        verifying_connection: None,
         verify_next: false,
-        busy: false,
+        reported_busy: false,
         context,
     };
-    peer.context.tasks.clone().spawn(peer.run(mail)).detach();
+    peer.context.tasks.clone().spawn(peer.run(messages)).detach();
     mailbox
 }
 
 impl Peer {
-    async fn run(mut self, mail: Receiver<PeerActorMessage>) {
+    async fn run(mut self, messages: Receiver<PeerActorMessage>) {
         self.connect();
-        while let Ok(mail) = mail.recv().await {
-            if matches!(mail, PeerActorMessage::StateChanged(ServiceState::Removed)) {
-                return self.end().await;
+        while let Ok(message) = messages.recv().await {
+            if matches!(message, PeerActorMessage::StateChanged(ServiceState::Removed)) {
+                return self.shut_down().await;
             }
-            self.take(mail).await;
-            self.plan_check();
-            self.tell_use();
+            self.handle_message(message).await;
+            self.schedule_check();
+            self.report_use();
             self.close_if_drained();
         }
     }
 
-    async fn take(&mut self, mail: PeerActorMessage) {
-        match mail {
-            PeerActorMessage::Command(id, far) => self.command(id, far).await,
-            PeerActorMessage::StateChanged(condition) => self.condition(condition).await,
-            PeerActorMessage::StartedAt(at) => self.restarted(at).await,
+    async fn handle_message(&mut self, message: PeerActorMessage) {
+        match message {
+            PeerActorMessage::Command(id, command) => self.command(id, command).await,
+            PeerActorMessage::StateChanged(service_state) => self.set_service_state(service_state).await,
+            PeerActorMessage::StartedAt(at) => self.exchange_restarted(at).await,
             PeerActorMessage::Connected(Ok(stream), permit) => self.connected(stream, permit),
             PeerActorMessage::Connected(Err(error), permit) => {
                 drop(permit);
-                self.refused(error).await;
+                self.connect_failed(error).await;
             }
-            PeerActorMessage::Connection(no, heard) if self.connections.contains_key(&no) => {
-                self.heard(no, heard).await
-            }
-            PeerActorMessage::Connection(no, ConnectionEvent::Message(Ok(message)))
-                if self.retired.contains_key(&no) =>
+            PeerActorMessage::Connection(connection_id, event)
+                if self.connections.contains_key(&connection_id) =>
             {
-                self.message(no, message).await;
+                self.handle_connection_event(connection_id, event).await
             }
-            PeerActorMessage::Connection(no, _) | PeerActorMessage::RetirementOver(no) => {
-                drop(self.retired.remove(&no))
+            PeerActorMessage::Connection(connection_id, ConnectionEvent::Message(Ok(message)))
+                if self.retired.contains_key(&connection_id) =>
+            {
+                self.handle_sip_message(connection_id, message).await;
             }
+            PeerActorMessage::Connection(connection_id, _)
+            | PeerActorMessage::RetirementOver(connection_id) => drop(self.retired.remove(&connection_id)),
             PeerActorMessage::Reconnect => {
-                self.retrying = false;
+                self.reconnect_scheduled = false;
                 self.connect();
             }
-            PeerActorMessage::CheckLiveness => self.check().await,
+            PeerActorMessage::CheckLiveness => self.check_liveness().await,
             PeerActorMessage::GiveUpConnection => self.give_up_connection().await,
         }
     }
 
     /// The exchange is gone. Whatever is still queued goes out before the connections close.
-    async fn end(mut self) {
-        tracing::info!(office = self.office.0, addr = %self.addr, "exchange gone");
-        self.condition = ServiceState::Removed;
-        self.context.permits.remove_exchange(self.office);
+    async fn shut_down(mut self) {
+        tracing::info!(office = self.exchange.0, addr = %self.addr, "exchange gone");
+        self.service_state = ServiceState::Removed;
+        self.context.permits.remove_exchange(self.exchange);
         let connections = std::mem::take(&mut self.connections);
-        self.fail_waiting().await;
+        self.fail_queued_set_ups().await;
         for connection in connections.into_values() {
-            self.end_open(connection).await;
+            self.fail_pending_set_ups(connection).await;
         }
     }
 
-    async fn condition(&mut self, condition: ServiceState) {
-        self.condition = condition;
-        if condition == ServiceState::Draining {
+    async fn set_service_state(&mut self, service_state: ServiceState) {
+        self.service_state = service_state;
+        if service_state == ServiceState::Draining {
             // Nothing that waited for a connection may leave once it drains.
-            self.fail_waiting().await;
+            self.fail_queued_set_ups().await;
         }
     }
 
     /// The list tells of a new start. A machine that vanished left its connections open and silent.
-    async fn restarted(&mut self, at: Time) {
+    async fn exchange_restarted(&mut self, at: Time) {
         self.liveness.restarted(at);
-        let before = self.connections.iter().filter(|(_, c)| c.since < at);
-        let old: Vec<u64> = before.map(|(no, _)| *no).collect();
-        for no in old {
-            tracing::info!(office = self.office.0, connection = no, "exchange restarted: connecting again");
-            self.liveness.closed(self.now(), no, Ending::Broken);
-            if let Some(connection) = self.connections.remove(&no) {
-                self.end_open(connection).await;
+        let older = self.connections.iter().filter(|(_, c)| c.connected_at < at);
+        let stale: Vec<u64> = older.map(|(connection_id, _)| *connection_id).collect();
+        for connection_id in stale {
+            tracing::info!(
+                office = self.exchange.0,
+                connection = connection_id,
+                "exchange restarted: connecting again"
+            );
+            self.liveness.closed(self.now(), connection_id, Ending::Broken);
+            if let Some(connection) = self.connections.remove(&connection_id) {
+                self.fail_pending_set_ups(connection).await;
             }
         }
         self.connect();
     }
 
-    async fn heard(&mut self, no: u64, heard: ConnectionEvent) {
-        match heard {
+    async fn handle_connection_event(&mut self, connection_id: u64, event: ConnectionEvent) {
+        match event {
             ConnectionEvent::Message(Ok(message)) => {
-                self.proof_of_life(no, &message);
-                self.message(no, message).await;
+                self.record_activity(connection_id, &message);
+                self.handle_sip_message(connection_id, message).await;
             }
             // Nothing that follows on the same connection can be trusted.
-            ConnectionEvent::Message(Err(fault)) => {
-                self.lost(no, fault.to_string(), true, Ending::Broken).await
+            ConnectionEvent::Message(Err(error)) => {
+                self.connection_lost(connection_id, error.to_string(), true, Ending::Broken).await
             }
-            ConnectionEvent::Ended(over) => {
-                let ours = !matches!(over, CloseReason::Closed | CloseReason::Broken(_));
+            ConnectionEvent::Ended(close_reason) => {
+                let ended_by_proxy = !matches!(close_reason, CloseReason::Closed | CloseReason::Broken(_));
                 let ending =
-                    if matches!(over, CloseReason::Closed) { Ending::Closed } else { Ending::Broken };
-                self.lost(no, format!("{over:?}"), ours, ending).await;
+                    if matches!(close_reason, CloseReason::Closed) { Ending::Closed } else { Ending::Broken };
+                self.connection_lost(connection_id, format!("{close_reason:?}"), ended_by_proxy, ending)
+                    .await;
             }
         }
     }
@@ -265,41 +271,55 @@
 
     /// Set-ups are open here or wait, or calls stand.
     fn is_busy(&self) -> bool {
-        let open = self.connections.values().any(|c| !c.open.is_empty());
-        open || !self.waiting.is_empty() || self.liveness.calls() > 0
+        let open = self.connections.values().any(|c| !c.pending_set_ups.is_empty());
+        open || !self.queued_commands.is_empty() || self.liveness.calls() > 0
     }
 
-    fn tell_use(&mut self) {
+    fn report_use(&mut self) {
         let busy = self.is_busy();
-        if busy != self.busy {
-            self.busy = busy;
-            self.context.permits.set_in_use(self.office, busy);
+        if busy != self.reported_busy {
+            self.reported_busy = busy;
+            self.context.permits.set_in_use(self.exchange, busy);
         }
     }
 
     /// Posts something to this actor after a time.
-    fn later(&self, seconds: Secs, mail: PeerActorMessage) {
+    fn post_later(&self, seconds: Secs, message: PeerActorMessage) {
         let mailbox = self.own_mailbox.clone();
         let wait = Duration::from_secs_f64(seconds.max(0.001));
-        let posted = async move {
+        let delayed = async move {
             Timer::after(wait).await;
-            let _ = mailbox.send(mail).await;
+            let _ = mailbox.send(message).await;
         };
-        self.context.tasks.spawn(posted).detach();
+        self.context.tasks.spawn(delayed).detach();
     }
 
-    async fn tell(&self, input: CallEvent) {
+    async fn send_event(&self, input: CallEvent) {
         post(&self.context.engine, EngineMessage::Input(input)).await;
     }
 
-    async fn ended(&self, id: CallId, leg: Option<u32>, outcome: Outcome, why: Cause, report: LoadReport) {
-        self.tell(CallEvent::SetUpFailed { id, exchange: self.office, leg, outcome, cause: why, report })
-            .await;
+    async fn set_up_failed(
+        &self,
+        id: CallId,
+        leg: Option<u32>,
+        outcome: Outcome,
+        reason: Cause,
+        report: LoadReport,
+    ) {
+        self.send_event(CallEvent::SetUpFailed {
+            id,
+            exchange: self.exchange,
+            leg,
+            outcome,
+            cause: reason,
+            report,
+        })
+        .await;
     }
 
-    fn write(&self, no: u64, message: &Message) {
-        if let Some(connection) = self.connections.get(&no) {
-            connection.conn.write(message);
+    fn write(&self, connection_id: u64, message: &Message) {
+        if let Some(connection) = self.connections.get(&connection_id) {
+            connection.handle.write(message);
         }
     }
 }
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -1,5 +1,5 @@
 //! The connections to exchanges, counted over all their actors. Whoever opens one holds a [`Permit`] for as long as its
-//! descriptor is in use. What is decided is decided by [`crate::limits::connections`].
+//! descriptor is in use. What is decided is decided by [`crate::limits::connection_limit`].
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -34,18 +34,18 @@
 /// The right to one descriptor for an exchange. Dropped, it is free again.
 pub struct Permit {
     permits: Rc<Permits>,
-    office: ExchangeId,
+    exchange: ExchangeId,
 }
 
 impl std::fmt::Debug for Permit {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Permit({})", self.office.0)
+        write!(f, "Permit({})", self.exchange.0)
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.permits.budget.borrow_mut().ended(self.office);
+        self.permits.budget.borrow_mut().ended(self.exchange);
     }
 }
 
@@ -57,31 +57,35 @@
     }
 
     /// An exchange is there. Says once where not every exchange can have a connection.
-    pub fn add_exchange(&self, office: ExchangeId, mailbox: Sender<PeerActorMessage>) {
+    pub fn add_exchange(&self, exchange: ExchangeId, mailbox: Sender<PeerActorMessage>) {
         let mut budget = self.budget.borrow_mut();
-        let fitted = budget.fits();
-        budget.listed(self.clock.now(), office);
-        if fitted && !budget.fits() {
-            let (exchanges, connections) = (budget.exchanges(), budget.limit());
-            tracing::warn!(exchanges, connections, "more exchanges than connections: idle ones wait for use");
+        let fitted_before = budget.fits();
+        budget.listed(self.clock.now(), exchange);
+        if fitted_before && !budget.fits() {
+            let (exchange_count, connection_limit) = (budget.exchanges(), budget.limit());
+            tracing::warn!(
+                exchanges = exchange_count,
+                connections = connection_limit,
+                "more exchanges than connections: idle ones wait for use"
+            );
         }
-        self.peers.borrow_mut().insert(office, mailbox);
+        self.peers.borrow_mut().insert(exchange, mailbox);
     }
 
     /// An exchange is gone.
-    pub fn remove_exchange(&self, office: ExchangeId) {
-        self.budget.borrow_mut().gone(office);
-        self.peers.borrow_mut().remove(&office);
+    pub fn remove_exchange(&self, exchange: ExchangeId) {
+        self.budget.borrow_mut().gone(exchange);
+        self.peers.borrow_mut().remove(&exchange);
     }
 
     /// An exchange has set-ups open or calls that stand, or has none any more.
-    pub fn set_in_use(&self, office: ExchangeId, busy: bool) {
-        self.budget.borrow_mut().in_use(self.clock.now(), office, busy);
+    pub fn set_in_use(&self, exchange: ExchangeId, busy: bool) {
+        self.budget.borrow_mut().in_use(self.clock.now(), exchange, busy);
     }
 
     /// An exchange can't give a connection up now.
-    pub fn decline_release(&self, office: ExchangeId) {
-        self.budget.borrow_mut().refused(office);
+    pub fn decline_release(&self, exchange: ExchangeId) {
+        self.budget.borrow_mut().refused(exchange);
     }
 
     /// Connections held.
@@ -90,14 +94,14 @@
     }
 
     /// An exchange wants a connection.
-    pub fn request(self: &Rc<Self>, office: ExchangeId, purpose: Purpose) -> PermitDecision {
-        let grant = self.budget.borrow_mut().ask(office, purpose);
+    pub fn request(self: &Rc<Self>, exchange: ExchangeId, purpose: Purpose) -> PermitDecision {
+        let grant = self.budget.borrow_mut().ask(exchange, purpose);
         match grant {
-            Grant::Open => PermitDecision::Granted(Permit { permits: self.clone(), office }),
+            Grant::Open => PermitDecision::Granted(Permit { permits: self.clone(), exchange }),
             Grant::After(victim) => {
                 telemetry::connection_given_up();
                 tracing::debug!(
-                    office = office.0,
+                    office = exchange.0,
                     victim = victim.0,
                     ?purpose,
                     "asked for a connection of another"
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -22,19 +22,19 @@
 use crate::telemetry;
 
 /// A message has to be whole within this, and a connection has to bring a request that is taken.
-const WHOLE_WITHIN: Secs = 2.2;
+const MESSAGE_TIMEOUT: Secs = 2.2;
 /// A connection without an open set-up that has been quiet for this long is closed; callers do so after 4 s.
-const IDLE: Secs = 5.0;
+const IDLE_TIMEOUT: Secs = 5.0;
 /// What a caller is told that comes when every connection is in use, in milliseconds.
 const COOL_DOWN_MS: u32 = 1000;
 /// Connections beyond the most that are let in to be refused in words.
-const MOST_BEYOND: usize = 8;
+const MAX_REFUSED_CONNECTIONS: usize = 8;
 /// Until the next try where no connection could be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Between two looks at the connections.
-const LOOK: Secs = 0.25;
+const CHECK_INTERVAL: Secs = 0.25;
 /// The longest description: what goes out must not be longer than a message may be.
-const LONGEST: usize = 15 * 1024;
+const MAX_DESCRIPTION_BYTES: usize = 15 * 1024;
 
 /// What the front is told.
 #[derive(Debug)]
@@ -57,8 +57,8 @@
     AcceptFailed,
 }
 
-struct Leg {
-    conn: u64,
+struct CallerLeg {
+    received_on: u64,
     /// The headers of the set-up, to answer by.
     headers: Vec<(String, String)>,
     uri: String,
@@ -66,21 +66,21 @@
 }
 
 /// A caller's connection.
-struct Line {
-    conn: ConnectionHandle,
+struct CallerConnection {
+    handle: ConnectionHandle,
     /// When it was opened, and when it last brought a request or took an answer.
-    opened: Time,
-    active: Time,
+    opened_at: Time,
+    last_active: Time,
     /// It has brought a set-up or a test that was taken.
-    proven: bool,
+    useful: bool,
     /// It has brought a set-up that was taken: releases may go there.
-    calls: bool,
+    carries_calls: bool,
     /// Set-ups without a final answer.
-    open: usize,
+    open_set_ups: usize,
     /// Calls that stand and whose set-up it has brought: their releases are told here first.
-    standing: usize,
+    established_calls: usize,
     /// It came when every other one was in use: its set-ups are refused.
-    refused: bool,
+    over_limit: bool,
 }
 
 /// The front's state.
@@ -110,14 +110,14 @@
 struct State {
     front: PlatformFront,
     ready: bool,
-    next: u64,
-    lines: BTreeMap<u64, Line>,
-    calls: BTreeMap<CallId, Leg>,
+    next_connection_id: u64,
+    caller_connections: BTreeMap<u64, CallerConnection>,
+    calls: BTreeMap<CallId, CallerLeg>,
     /// Releases that wait for a connection which has brought a call.
-    unsent: WaitingReleases,
+    undelivered_releases: WaitingReleases,
     shutdown: Option<Shutdown>,
     /// Since when no caller is connected.
-    unconnected_since: Time,
+    no_callers_since: Time,
     accepting: Accepting,
 }
 
@@ -148,7 +148,7 @@
                 telemetry::accept_failed();
                 tracing::warn!(%error, "no connection could be accepted: an idle one makes room");
                 post(&mailbox, PlatformMessage::AcceptFailed).await;
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
             None => break,
         }
@@ -162,49 +162,55 @@
 
 impl PlatformFront {
     /// Runs for ever.
-    pub async fn run(self, mail: Receiver<PlatformMessage>) {
-        let (lines, calls) = (BTreeMap::new(), BTreeMap::new());
-        let unconnected_since = self.clock.now();
-        let unsent = WaitingReleases::new(self.max_release_bytes);
+    pub async fn run(self, messages: Receiver<PlatformMessage>) {
+        let (caller_connections, calls) = (BTreeMap::new(), BTreeMap::new());
+        let no_callers_since = self.clock.now();
+        let undelivered_releases = WaitingReleases::new(self.max_release_bytes);
         let mut state = State {
             front: self,
             ready: false,
-            next: 0,
-            lines,
+            next_connection_id: 0,
+            caller_connections,
             calls,
-            unsent,
+            undelivered_releases,
             shutdown: None,
-            unconnected_since,
+            no_callers_since,
             accepting: Accepting::Yes,
         };
-        state.look().await;
-        while let Ok(mail) = mail.recv().await {
-            match mail {
+        state.check_connections().await;
+        while let Ok(message) = messages.recv().await {
+            match message {
                 PlatformMessage::Accepted(stream) => state.accepted(stream).await,
                 // Whatever a connection still brings after its close is not heard.
-                PlatformMessage::Connection(no, _) if !state.lines.contains_key(&no) => {}
-                PlatformMessage::Connection(no, ConnectionEvent::Message(Ok(message))) => {
-                    state.message(no, message).await
+                PlatformMessage::Connection(connection_id, _)
+                    if !state.caller_connections.contains_key(&connection_id) => {}
+                PlatformMessage::Connection(connection_id, ConnectionEvent::Message(Ok(message))) => {
+                    state.handle_message(connection_id, message).await
                 }
-                PlatformMessage::Connection(no, ConnectionEvent::Message(Err(fault))) => {
+                PlatformMessage::Connection(connection_id, ConnectionEvent::Message(Err(fault))) => {
                     tracing::warn!(%fault, "message from a caller");
-                    let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                    if known && !fault.response {
-                        state.write(no, &Message::response(400, "Bad Request", &fault.headers));
+                    let has_call_id = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
+                    if has_call_id && !fault.response {
+                        state.write(connection_id, &Message::response(400, "Bad Request", &fault.headers));
                     } else {
-                        state.close(no).await;
+                        state.close(connection_id).await;
                     }
                 }
-                PlatformMessage::Connection(no, ConnectionEvent::Ended(over)) => state.over(no, over).await,
-                PlatformMessage::ToCaller(id, near) => state.near(id, near),
+                PlatformMessage::Connection(connection_id, ConnectionEvent::Ended(reason)) => {
+                    state.connection_ended(connection_id, reason).await
+                }
+                PlatformMessage::ToCaller(id, command) => state.handle_caller_command(id, command),
                 PlatformMessage::Ready => state.ready = true,
-                PlatformMessage::CheckConnections => state.look().await,
+                PlatformMessage::CheckConnections => state.check_connections().await,
                 PlatformMessage::AcceptFailed => drop(state.make_room().await),
                 PlatformMessage::Drain(shutdown) => state.shutdown = state.shutdown.or(Some(shutdown)),
                 PlatformMessage::ListenerClosed => {
-                    tracing::debug!(connections = state.lines.len(), "no more callers are accepted");
+                    tracing::debug!(
+                        connections = state.caller_connections.len(),
+                        "no more callers are accepted"
+                    );
                     state.accepting = Accepting::Ended;
-                    state.look().await;
+                    state.check_connections().await;
                 }
             }
         }
@@ -213,264 +219,288 @@
 
 impl State {
     async fn accepted(&mut self, stream: TcpStream) {
-        let full = self.lines.len() >= self.front.max_connections && !self.make_room().await;
-        let beyond = self.lines.len() >= self.front.max_connections + MOST_BEYOND;
-        if beyond {
+        let full = self.caller_connections.len() >= self.front.max_connections && !self.make_room().await;
+        let far_over_limit =
+            self.caller_connections.len() >= self.front.max_connections + MAX_REFUSED_CONNECTIONS;
+        if far_over_limit {
             tracing::warn!(most = self.front.max_connections, "too many callers: connection closed");
             telemetry::caller_connection_closed("too many");
             return;
         }
-        let no = self.next;
-        self.next += 1;
-        let wrap = move |heard| PlatformMessage::Connection(no, heard);
-        let within = Duration::from_secs_f64(WHOLE_WITHIN);
+        let connection_id = self.next_connection_id;
+        self.next_connection_id += 1;
+        let wrap = move |event| PlatformMessage::Connection(connection_id, event);
+        let message_timeout = Duration::from_secs_f64(MESSAGE_TIMEOUT);
         let (tasks, send_queues) = (&self.front.tasks, &self.front.send_queues);
-        let conn =
-            ConnectionHandle::open(tasks, send_queues, stream, self.front.mailbox.clone(), within, wrap);
+        let handle = ConnectionHandle::open(
+            tasks,
+            send_queues,
+            stream,
+            self.front.mailbox.clone(),
+            message_timeout,
+            wrap,
+        );
         let now = self.front.clock.now();
-        let line = Line {
-            conn,
-            opened: now,
-            active: now,
-            proven: false,
-            calls: false,
-            open: 0,
-            standing: 0,
-            refused: full,
+        let caller = CallerConnection {
+            handle,
+            opened_at: now,
+            last_active: now,
+            useful: false,
+            carries_calls: false,
+            open_set_ups: 0,
+            established_calls: 0,
+            over_limit: full,
         };
-        self.lines.insert(no, line);
+        self.caller_connections.insert(connection_id, caller);
     }
 
     /// Closes the idle connection that is needed the least; returns whether there was one.
     async fn make_room(&mut self) -> bool {
         // Whoever never asked for anything goes first, then whoever has been quiet the longest.
         // Calls that stand may be told elsewhere, but mostly their callers wait for it here.
-        let idle = self.lines.iter().filter(|(_, line)| line.open == 0);
-        let rank = |line: &Line| (line.proven, line.standing > 0);
-        let spare = idle
-            .min_by(|(_, a), (_, b)| rank(a).cmp(&rank(b)).then_with(|| a.active.0.total_cmp(&b.active.0)));
-        let Some(spare) = spare.map(|(no, _)| *no) else { return false };
+        let idle = self.caller_connections.iter().filter(|(_, caller)| caller.open_set_ups == 0);
+        let rank = |caller: &CallerConnection| (caller.useful, caller.established_calls > 0);
+        let victim = idle.min_by(|(_, a), (_, b)| {
+            rank(a).cmp(&rank(b)).then_with(|| a.last_active.0.total_cmp(&b.last_active.0))
+        });
+        let Some(victim) = victim.map(|(connection_id, _)| *connection_id) else { return false };
         tracing::debug!(most = self.front.max_connections, "many callers: an idle connection is closed");
         telemetry::caller_connection_closed("made room");
-        self.close(spare).await;
+        self.close(victim).await;
         true
     }
 
     /// Closes what has been of no use for too long, and asks to be woken for the next look.
-    async fn look(&mut self) {
+    async fn check_connections(&mut self) {
         let now = self.front.clock.now();
         let shutdown = self.shutdown;
-        let useless = |line: &Line| {
-            let unproven = !line.proven && now - line.opened >= WHOLE_WITHIN;
-            let idle = line.standing == 0 && now - line.active >= IDLE;
-            let ending = shutdown.is_some_and(|s| s.may_close(now, line.open, line.standing));
-            match line.open {
-                0 if ending => Some("shutting down"),
-                0 if unproven => Some("nothing useful"),
+        let close_reason_of = |caller: &CallerConnection| {
+            let nothing_useful = !caller.useful && now - caller.opened_at >= MESSAGE_TIMEOUT;
+            let idle = caller.established_calls == 0 && now - caller.last_active >= IDLE_TIMEOUT;
+            let closing_for_shutdown =
+                shutdown.is_some_and(|s| s.may_close(now, caller.open_set_ups, caller.established_calls));
+            match caller.open_set_ups {
+                0 if closing_for_shutdown => Some("shutting down"),
+                0 if nothing_useful => Some("nothing useful"),
                 0 if idle => Some("idle"),
                 _ => None,
             }
         };
-        let spare: Vec<_> = self.lines.iter().filter_map(|(no, line)| Some((*no, useless(line)?))).collect();
-        for (no, reason) in spare {
-            tracing::debug!(connection = no, reason, "a caller's connection is closed");
+        let closable: Vec<_> = self
+            .caller_connections
+            .iter()
+            .filter_map(|(connection_id, caller)| Some((*connection_id, close_reason_of(caller)?)))
+            .collect();
+        for (connection_id, reason) in closable {
+            tracing::debug!(connection = connection_id, reason, "a caller's connection is closed");
             telemetry::caller_connection_closed(reason);
-            self.close(no).await;
+            self.close(connection_id).await;
         }
-        self.report();
-        self.end_if_done(now).await;
-        if self.accepting == Accepting::Ended && self.lines.is_empty() {
+        self.record_resources();
+        self.advance_shutdown(now).await;
+        if self.accepting == Accepting::Ended && self.caller_connections.is_empty() {
             return;
         }
-        let next = (now + LOOK, TimerKind::ConnectionCheck);
-        if self.front.timers.send(next).await.is_err() {
+        let next_check = (now + CHECK_INTERVAL, TimerKind::ConnectionCheck);
+        if self.front.timers.send(next_check).await.is_err() {
             tracing::error!("the clock is gone: idle connections stay");
         }
     }
 
-    fn report(&self) {
-        let (callers, exchanges) = (self.lines.len(), self.front.permits.open_connections());
-        telemetry::resources(callers, exchanges, self.front.send_queues.queued(), self.unsent.bytes());
+    fn record_resources(&self) {
+        let (callers, exchanges) = (self.caller_connections.len(), self.front.permits.open_connections());
+        telemetry::resources(
+            callers,
+            exchanges,
+            self.front.send_queues.total_bytes(),
+            self.undelivered_releases.bytes(),
+        );
     }
 
     /// After SIGTERM: stops to accept once no caller has been connected for a while, and says so once none is left.
-    async fn end_if_done(&mut self, now: Time) {
-        if !self.lines.is_empty() {
-            self.unconnected_since = now;
+    async fn advance_shutdown(&mut self, now: Time) {
+        if !self.caller_connections.is_empty() {
+            self.no_callers_since = now;
         }
         let Some(shutdown) = self.shutdown else { return };
         match self.accepting {
-            Accepting::Yes if shutdown.may_end(now, self.unconnected_since) => {
+            Accepting::Yes if shutdown.may_end(now, self.no_callers_since) => {
                 self.accepting = Accepting::Stopping;
                 // It ends with the first word of it.
                 let _ = self.front.stop_accepting.try_send(());
             }
-            Accepting::Ended if self.lines.is_empty() => {
+            Accepting::Ended if self.caller_connections.is_empty() => {
                 post(&self.front.engine, EngineMessage::CallersDisconnected).await;
             }
             _ => {}
         }
     }
 
-    fn write(&mut self, no: u64, message: &Message) -> bool {
-        self.lines.get(&no).is_some_and(|line| line.conn.write(message))
+    fn write(&mut self, connection_id: u64, message: &Message) -> bool {
+        self.caller_connections.get(&connection_id).is_some_and(|caller| caller.handle.write(message))
     }
 
-    async fn tell(&self, input: CallEvent) {
+    async fn send_event(&self, input: CallEvent) {
         post(&self.front.engine, EngineMessage::Input(input)).await;
     }
 
-    async fn over(&mut self, no: u64, over: CloseReason) {
-        if !matches!(over, CloseReason::Closed | CloseReason::Broken(_)) {
-            tracing::warn!(?over, "a caller's connection is closed");
+    async fn connection_ended(&mut self, connection_id: u64, reason: CloseReason) {
+        if !matches!(reason, CloseReason::Closed | CloseReason::Broken(_)) {
+            tracing::warn!(over = ?reason, "a caller's connection is closed");
         }
-        self.close(no).await;
+        self.close(connection_id).await;
     }
 
     /// Closes a connection; the set-ups open on it are given up.
-    async fn close(&mut self, no: u64) {
-        self.lines.remove(&no);
-        self.unconnected_since = self.front.clock.now();
-        let open = self.calls.iter().filter(|(_, leg)| leg.conn == no && !leg.answered);
+    async fn close(&mut self, connection_id: u64) {
+        self.caller_connections.remove(&connection_id);
+        self.no_callers_since = self.front.clock.now();
+        let open = self.calls.iter().filter(|(_, leg)| leg.received_on == connection_id && !leg.answered);
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
         for id in open {
             self.calls.remove(&id);
-            self.tell(CallEvent::CallerGaveUp(id)).await;
+            self.send_event(CallEvent::CallerGaveUp(id)).await;
         }
     }
 
     /// Takes back the open set-up of a call, if it is this connection's.
-    fn take_back(&mut self, no: u64, id: &CallId) -> Option<Leg> {
-        self.calls.get(id).filter(|leg| leg.conn == no && !leg.answered)?;
+    fn withdraw_set_up(&mut self, connection_id: u64, id: &CallId) -> Option<CallerLeg> {
+        self.calls.get(id).filter(|leg| leg.received_on == connection_id && !leg.answered)?;
         let leg = self.calls.remove(id)?;
-        self.settled(no);
+        self.set_up_answered(connection_id);
         Some(leg)
     }
 
     /// A call that stands is over: its connection may go.
-    fn over_on_its_connection(&mut self, id: &CallId) {
-        let Some(no) = self.calls.get(id).filter(|leg| leg.answered).map(|leg| leg.conn) else { return };
-        if let Some(line) = self.lines.get_mut(&no) {
-            line.standing = line.standing.saturating_sub(1);
-            line.active = self.front.clock.now();
+    fn established_call_ended(&mut self, id: &CallId) {
+        let Some(connection_id) = self.calls.get(id).filter(|leg| leg.answered).map(|leg| leg.received_on)
+        else {
+            return;
+        };
+        if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
+            caller.established_calls = caller.established_calls.saturating_sub(1);
+            caller.last_active = self.front.clock.now();
         }
     }
 
     /// A set-up on a connection has its final answer.
-    fn settled(&mut self, no: u64) {
-        if let Some(line) = self.lines.get_mut(&no) {
-            line.open = line.open.saturating_sub(1);
-            line.active = self.front.clock.now();
+    fn set_up_answered(&mut self, connection_id: u64) {
+        if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
+            caller.open_set_ups = caller.open_set_ups.saturating_sub(1);
+            caller.last_active = self.front.clock.now();
         }
     }
 
-    async fn message(&mut self, no: u64, message: Message) {
+    async fn handle_message(&mut self, connection_id: u64, message: Message) {
         let id = CallId(message.get("Call-ID").unwrap_or("").to_owned());
         match message.method() {
-            Some("INVITE") => self.invite(no, id, message).await,
-            Some("CANCEL") => match self.take_back(no, &id) {
+            Some("INVITE") => self.invite(connection_id, id, message).await,
+            Some("CANCEL") => match self.withdraw_set_up(connection_id, &id) {
                 Some(leg) => {
-                    self.write(no, &Message::response(487, "Request Terminated", &leg.headers));
-                    self.tell(CallEvent::CallerGaveUp(id)).await;
+                    self.write(connection_id, &Message::response(487, "Request Terminated", &leg.headers));
+                    self.send_event(CallEvent::CallerGaveUp(id)).await;
                 }
                 // It crossed the answer: the call stands and is not wanted.
-                None if self.calls.get(&id).is_some_and(|leg| leg.conn == no) => {
-                    self.tell(CallEvent::CallerGaveUp(id)).await;
+                None if self.calls.get(&id).is_some_and(|leg| leg.received_on == connection_id) => {
+                    self.send_event(CallEvent::CallerGaveUp(id)).await;
                 }
-                None => self.unknown(no, &message),
+                None => self.reply_unknown_call(connection_id, &message),
             },
             Some("BYE") => {
-                if let Some(leg) = self.take_back(no, &id) {
-                    self.write(no, &Message::response(487, "Request Terminated", &leg.headers));
-                    self.unknown(no, &message);
-                    self.tell(CallEvent::CallerGaveUp(id)).await;
+                if let Some(leg) = self.withdraw_set_up(connection_id, &id) {
+                    self.write(connection_id, &Message::response(487, "Request Terminated", &leg.headers));
+                    self.reply_unknown_call(connection_id, &message);
+                    self.send_event(CallEvent::CallerGaveUp(id)).await;
                 } else if self.calls.get(&id).is_some_and(|leg| leg.answered) {
-                    self.write(no, &Message::response(200, "OK", &message.headers));
-                    self.over_on_its_connection(&id);
+                    self.write(connection_id, &Message::response(200, "OK", &message.headers));
+                    self.established_call_ended(&id);
                     self.calls.remove(&id);
-                    self.tell(CallEvent::CallerReleased(id)).await;
+                    self.send_event(CallEvent::CallerReleased(id)).await;
                 } else {
-                    self.unknown(no, &message);
+                    self.reply_unknown_call(connection_id, &message);
                 }
             }
             Some("OPTIONS") => {
                 let (status, reason) = if self.ready { (200, "OK") } else { (503, "Starting") };
-                self.prove(no, false);
-                self.write(no, &Message::response(status, reason, &message.headers));
+                self.record_valid_request(connection_id, false);
+                self.write(connection_id, &Message::response(status, reason, &message.headers));
             }
             Some("ACK" | "NOTIFY") | None => {}
             Some(_) => {
-                self.write(no, &Message::response(405, "Method Not Allowed", &message.headers));
+                self.write(connection_id, &Message::response(405, "Method Not Allowed", &message.headers));
             }
         }
     }
 
-    fn unknown(&mut self, no: u64, message: &Message) {
-        self.write(no, &Message::response(481, "Call Does Not Exist", &message.headers));
+    fn reply_unknown_call(&mut self, connection_id: u64, message: &Message) {
+        self.write(connection_id, &Message::response(481, "Call Does Not Exist", &message.headers));
     }
 
     /// A connection has brought something that is taken.
-    fn prove(&mut self, no: u64, calls: bool) {
-        let Some(line) = self.lines.get_mut(&no) else { return };
-        line.proven = true;
-        line.active = self.front.clock.now();
-        if calls && !line.calls {
-            line.calls = true;
-            line.conn.prove();
-            for message in self.unsent.take() {
-                line.conn.write(&message);
+    fn record_valid_request(&mut self, connection_id: u64, is_call: bool) {
+        let Some(caller) = self.caller_connections.get_mut(&connection_id) else { return };
+        caller.useful = true;
+        caller.last_active = self.front.clock.now();
+        if is_call && !caller.carries_calls {
+            caller.carries_calls = true;
+            caller.handle.mark_carries_calls();
+            for message in self.undelivered_releases.take() {
+                caller.handle.write(&message);
             }
         }
     }
 
-    async fn invite(&mut self, no: u64, id: CallId, message: Message) {
+    async fn invite(&mut self, connection_id: u64, id: CallId, message: Message) {
         match self.calls.get(&id) {
             // Two set-ups of one id on one connection: neither can be told from the other.
-            Some(leg) if leg.conn == no => {
+            Some(leg) if leg.received_on == connection_id => {
                 tracing::warn!(call = id.0, "two set-ups with one id: connection closed");
-                return self.close(no).await;
+                return self.close(connection_id).await;
             }
             Some(_) => {
                 tracing::warn!(call = id.0, "set-up with the id of another caller's call");
-                self.write(no, &Message::response(482, "Call Exists", &message.headers));
+                self.write(connection_id, &Message::response(482, "Call Exists", &message.headers));
                 return;
             }
             None => {}
         }
-        let request = match request(&id, &message) {
+        let request = match parse_request(&id, &message) {
             Ok(request) => request,
             Err(what) => {
                 tracing::warn!(call = id.0, what, "set-up from a caller");
-                self.write(no, &Message::response(400, "Bad Request", &message.headers));
+                self.write(connection_id, &Message::response(400, "Bad Request", &message.headers));
                 return;
             }
         };
-        if self.lines.get(&no).is_some_and(|line| line.refused) {
+        if self.caller_connections.get(&connection_id).is_some_and(|caller| caller.over_limit) {
             telemetry::refused("too many callers");
             let refusal = Message::response(503, "Service Unavailable", &message.headers);
-            self.write(no, &refusal.with("X-Cooldown", COOL_DOWN_MS));
+            self.write(connection_id, &refusal.with("X-Cooldown", COOL_DOWN_MS));
             return;
         }
         let uri = match message.start {
             Start::Request { uri, .. } => uri,
             Start::Response { .. } => String::new(),
         };
-        if let Some(line) = self.lines.get_mut(&no) {
-            line.open += 1;
+        if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
+            caller.open_set_ups += 1;
         }
-        self.calls.insert(id, Leg { conn: no, headers: message.headers, uri, answered: false });
-        self.tell(CallEvent::Request(request)).await;
+        self.calls.insert(
+            id,
+            CallerLeg { received_on: connection_id, headers: message.headers, uri, answered: false },
+        );
+        self.send_event(CallEvent::Request(request)).await;
     }
 
-    fn near(&mut self, id: CallId, near: CallerCommand) {
-        if matches!(near, CallerCommand::Release { .. }) {
-            self.over_on_its_connection(&id);
+    fn handle_caller_command(&mut self, id: CallId, command: CallerCommand) {
+        if matches!(command, CallerCommand::Release { .. }) {
+            self.established_call_ended(&id);
         }
         let Some(leg) = self.calls.get_mut(&id) else { return };
         let respond = |status, reason| Message::response(status, reason, &leg.headers);
         // What is turned down as it makes no sense proves nothing of its sender.
-        let sense = !matches!(near, CallerCommand::Reject(_));
-        let (message, over) = match near {
+        let valid = !matches!(command, CallerCommand::Reject(_));
+        let (message, ends_call) = match command {
             CallerCommand::Answer(description) => {
                 let mut message = respond(200, "OK");
                 message.body = description.to_vec();
@@ -479,53 +509,55 @@
                 leg.headers = Vec::new();
                 (message, false)
             }
-            CallerCommand::Refuse(wait) => {
+            CallerCommand::Refuse(cool_down) => {
                 let message = respond(503, "Service Unavailable");
-                let cooled = |s: Secs| message.clone().with("X-Cooldown", (s * 1000.0).round().max(0.0));
-                (wait.map_or(message.clone(), cooled), true)
+                let with_cool_down =
+                    |s: Secs| message.clone().with("X-Cooldown", (s * 1000.0).round().max(0.0));
+                (cool_down.map_or(message.clone(), with_cool_down), true)
             }
             CallerCommand::Fail => (respond(500, "Server Internal Error"), true),
             CallerCommand::Reject(RejectReason::UnknownClass) => (respond(488, "Not Acceptable Here"), true),
             CallerCommand::Reject(RejectReason::UnknownTenant) => (respond(403, "Forbidden"), true),
             CallerCommand::Reject(RejectReason::UnknownDestination) => (respond(404, "Not Found"), true),
             CallerCommand::Reject(RejectReason::OutOfRange) => (respond(400, "Bad Request"), true),
-            CallerCommand::Release { completed: whole } => {
+            CallerCommand::Release { completed } => {
                 let message = Message::request("BYE", &leg.uri)
                     .with("Via", "SIP/2.0/TCP proxy")
                     .with("Call-ID", &id.0)
                     .with("CSeq", "1 BYE")
-                    .with("Reason", format_args!("Q.850;cause={}", if whole { 16 } else { 41 }));
-                let conn = leg.conn;
+                    .with("Reason", format_args!("Q.850;cause={}", if completed { 16 } else { 41 }));
+                let received_on = leg.received_on;
                 self.calls.remove(&id);
-                return self.release(conn, message);
+                return self.deliver_release(received_on, message);
             }
         };
-        let conn = leg.conn;
-        telemetry::answered(if over { "refused" } else { "stands" });
-        if over {
+        let received_on = leg.received_on;
+        telemetry::answered(if ends_call { "refused" } else { "stands" });
+        if ends_call {
             self.calls.remove(&id);
-        } else if let Some(line) = self.lines.get_mut(&conn) {
-            line.standing += 1;
+        } else if let Some(caller) = self.caller_connections.get_mut(&received_on) {
+            caller.established_calls += 1;
         }
-        self.settled(conn);
-        if sense {
-            self.prove(conn, true);
+        self.set_up_answered(received_on);
+        if valid {
+            self.record_valid_request(received_on, true);
         }
-        self.write(conn, &message);
+        self.write(received_on, &message);
     }
 
     /// No connection owns a call that stands: a release takes any that is open and has brought calls, or the next
     /// to bring one.
-    fn release(&mut self, conn: u64, message: Message) {
-        if self.write(conn, &message) {
+    fn deliver_release(&mut self, received_on: u64, message: Message) {
+        if self.write(received_on, &message) {
             return;
         }
-        let mut open: Vec<_> = self.lines.iter().filter(|(_, line)| line.calls).collect();
-        open.sort_by(|(_, a), (_, b)| b.active.0.total_cmp(&a.active.0));
-        let open: Vec<u64> = open.into_iter().map(|(no, _)| *no).collect();
-        if !open.into_iter().any(|no| self.write(no, &message)) {
+        let mut open: Vec<_> =
+            self.caller_connections.iter().filter(|(_, caller)| caller.carries_calls).collect();
+        open.sort_by(|(_, a), (_, b)| b.last_active.0.total_cmp(&a.last_active.0));
+        let open: Vec<u64> = open.into_iter().map(|(connection_id, _)| *connection_id).collect();
+        if !open.into_iter().any(|connection_id| self.write(connection_id, &message)) {
             tracing::debug!(call = message.get("Call-ID"), "release waits for a connection from a caller");
-            let dropped = self.unsent.add(message);
+            let dropped = self.undelivered_releases.add(message);
             if dropped > 0 {
                 telemetry::releases_dropped(dropped);
                 tracing::warn!(dropped, "releases waited too long for a caller's connection");
@@ -536,7 +568,7 @@
 
 /// Reads a set-up. What an exchange could not read must not get past here: it would close on it, whatever else is
 /// open there.
-fn request(id: &CallId, message: &Message) -> Result<Request, &'static str> {
+fn parse_request(id: &CallId, message: &Message) -> Result<Request, &'static str> {
     let uri = match &message.start {
         Start::Request { uri, .. } => uri.as_str(),
         Start::Response { .. } => "",
@@ -546,15 +578,15 @@
     }
     let address = uri.strip_prefix("sip:").ok_or("its address is no sip address")?;
     let number = address.split_once('@').map_or(address, |(number, _)| number);
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.+*#".contains(&b);
-    if number.is_empty() || number.len() > 128 || !number.bytes().all(plain) {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.+*#".contains(&b);
+    if number.is_empty() || number.len() > 128 || !number.bytes().all(is_allowed) {
         return Err("the number called can't be read");
     }
-    if message.body.len() > LONGEST {
+    if message.body.len() > MAX_DESCRIPTION_BYTES {
         return Err("its description is too long");
     }
-    let wait = message.get("X-Deadline").and_then(|v| v.trim().parse::<f64>().ok());
-    let wait = wait.filter(|ms| ms.is_finite() && *ms > 0.0).ok_or("it has no X-Deadline")?;
+    let deadline_ms = message.get("X-Deadline").and_then(|v| v.trim().parse::<f64>().ok());
+    let deadline_ms = deadline_ms.filter(|ms| ms.is_finite() && *ms > 0.0).ok_or("it has no X-Deadline")?;
     let attrs = message.get("X-Attrs").unwrap_or("");
     let attr = |names: [&str; 2]| {
         let mut pairs = attrs.split(';').filter_map(|pair| pair.split_once(':'));
@@ -576,7 +608,7 @@
         front: Front::Platform,
         class: message.get("X-Tier").unwrap_or("").to_owned(),
         tenant: message.get("X-Tenant").map(str::to_owned),
-        ttl: wait / 1000.0,
+        ttl: deadline_ms / 1000.0,
         transit: flag(["transit", "midflow"])?,
         hop: attr(["via", "hop"])?.filter(|n| *n != -1).map(ExchangeNumber),
         re_established: flag(["again", "came_back"])?,
--- a/src/net/roster.rs
+++ b/src/net/roster.rs
@@ -20,12 +20,12 @@
 use crate::telemetry;
 
 /// A line comes every second; without a whole one for this long the connection is of no use.
-const SILENCE: Duration = Duration::from_millis(1800);
-const PAUSE: Duration = Duration::from_millis(100);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// The most bytes of one line.
-const MOST: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 /// How often one line that can't be read is asked for again before it is passed over.
-const PATIENCE: u32 = 5;
+const MAX_REREADS: u32 = 5;
 
 /// Where the list is told, and what of it is known without asking.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,10 +45,12 @@
     #[error("unreadable roster event: {0}")]
     Malformed(#[from] serde_json::Error),
     /// Events are missing.
-    #[error("roster events are missing: discovery is at event {announced}, the last one here is {last}")]
+    #[error(
+        "roster events are missing: discovery is at event {announced}, the last one here is {last_event}"
+    )]
     Gap {
         /// The last number known.
-        last: u64,
+        last_event: u64,
         /// The number said.
         announced: u64,
     },
@@ -95,11 +97,11 @@
 /// The list as told so far: its last event, and the numbers given to the ids of exchanges that are not gone.
 #[derive(Debug, Default)]
 pub struct RosterReader {
-    last: u64,
-    ids: BTreeMap<String, ExchangeId>,
-    given: u64,
+    last_event: u64,
+    exchange_ids: BTreeMap<String, ExchangeId>,
+    ids_assigned: u64,
     /// Events up to here were asked for again: what is still missing then was never written.
-    asked: u64,
+    requested: u64,
 }
 
 impl RosterReader {
@@ -107,169 +109,177 @@
     pub fn read_line(&mut self, line: &str) -> Result<Option<(bool, Vec<ListedExchange>)>, RosterError> {
         let value: Value = serde_json::from_str(line)?;
         match value.as_u64() {
-            Some(announced) => self.reaches(announced).map(|()| None),
+            Some(announced) => self.check_gap(announced).map(|()| None),
             None => self.apply_event(value),
         }
     }
 
     /// Checks that nothing up to a number is missing; the same number is complained of once.
-    fn reaches(&mut self, announced: u64) -> Result<(), RosterError> {
-        if announced <= self.last.max(self.asked) {
+    fn check_gap(&mut self, announced: u64) -> Result<(), RosterError> {
+        if announced <= self.last_event.max(self.requested) {
             return Ok(());
         }
-        self.asked = announced;
-        Err(RosterError::Gap { last: self.last, announced })
+        self.requested = announced;
+        Err(RosterError::Gap { last_event: self.last_event, announced })
     }
 
     /// Takes events that need no asking, and passes on those that are new.
-    async fn known(&mut self, events: Vec<Value>, last: u64, engine: &Sender<EngineMessage>) {
-        self.asked = u64::MAX;
+    async fn apply_known(&mut self, events: Vec<Value>, last_event: u64, engine: &Sender<EngineMessage>) {
+        self.requested = u64::MAX;
         for value in events {
             // The first event ever is the whole list.
-            let first = self.last == 0;
+            let initial = self.last_event == 0;
             match self.apply_event(value) {
-                Ok(Some((full, listed))) => {
-                    post(engine, EngineMessage::Roster { full: full || first, listed }).await;
+                Ok(Some((full, exchanges))) => {
+                    post(engine, EngineMessage::Roster { full: full || initial, listed: exchanges }).await;
                 }
                 Ok(None) => {}
                 Err(error) => tracing::error!(%error, "a known event can't be read"),
             }
         }
-        (self.last, self.asked) = (self.last.max(last), 0);
+        (self.last_event, self.requested) = (self.last_event.max(last_event), 0);
     }
 
     /// Reads one event.
     pub fn apply_event(&mut self, value: Value) -> Result<Option<(bool, Vec<ListedExchange>)>, RosterError> {
         let event = EventW::deserialize(value)?;
-        if event.no <= self.last {
+        if event.no <= self.last_event {
             return Ok(None);
         }
         if !event.roster.as_ref().is_some_and(|roster| roster.reset) {
-            self.reaches(event.no - 1)?;
+            self.check_gap(event.no - 1)?;
         }
-        self.last = event.no;
+        self.last_event = event.no;
         let Some(roster) = event.roster else { return Ok(None) };
-        let mut listed = Vec::new();
-        let mut gone = Vec::new();
-        for line in roster.instances {
-            let condition = match line.lifecycle.as_str() {
+        let mut exchanges = Vec::new();
+        let mut removed_ids = Vec::new();
+        for instance in roster.instances {
+            let state = match instance.lifecycle.as_str() {
                 "ready" => ServiceState::InService,
                 "draining" => ServiceState::Draining,
                 _ => ServiceState::Removed,
             };
-            if condition == ServiceState::Removed {
-                gone.push(line.instance_id.clone());
+            if state == ServiceState::Removed {
+                removed_ids.push(instance.instance_id.clone());
             }
-            let id = *self.ids.entry(line.instance_id).or_insert_with(|| {
-                self.given += 1;
-                ExchangeId(self.given)
+            let id = *self.exchange_ids.entry(instance.instance_id).or_insert_with(|| {
+                self.ids_assigned += 1;
+                ExchangeId(self.ids_assigned)
             });
-            let ready_at = (line.started_at_ms > 0.0).then_some(Time(line.started_at_ms / 1000.0));
-            let (zone, number, weight) = (line.zone, ExchangeNumber(line.cell), line.weight);
-            let entry = RosterEntry { id, zone, number, state: condition, weight, ready_at };
-            listed.push(ListedExchange { entry, addr: line.host_port });
+            let ready_at = (instance.started_at_ms > 0.0).then_some(Time(instance.started_at_ms / 1000.0));
+            let (zone, number, weight) = (instance.zone, ExchangeNumber(instance.cell), instance.weight);
+            let entry = RosterEntry { id, zone, number, state, weight, ready_at };
+            exchanges.push(ListedExchange { entry, addr: instance.host_port });
         }
         if roster.reset {
-            self.ids.retain(|_, id| listed.iter().any(|l| l.entry.id == *id));
+            self.exchange_ids
+                .retain(|_, id| exchanges.iter().any(|listed_exchange| listed_exchange.entry.id == *id));
         }
-        self.ids.retain(|id, _| !gone.contains(id));
-        Ok(Some((roster.reset, listed)))
+        self.exchange_ids.retain(|id, _| !removed_ids.contains(id));
+        Ok(Some((roster.reset, exchanges)))
     }
 }
 
 /// Why a connection is followed no longer.
-enum End {
+enum Disconnect {
     Lost(io::Error),
     Moved(RosterSource),
 }
 
 /// Does something unless another source is named first. Nothing that is half handed on is ever cut short by that.
-async fn or_moved<T>(
+async fn unless_moved<T>(
     sources: &Receiver<RosterSource>,
     work: impl Future<Output = io::Result<T>>,
-) -> Result<T, End> {
-    let moved = async {
+) -> Result<T, Disconnect> {
+    let next_source = async {
         match sources.recv().await {
-            Ok(source) => Err(End::Moved(source)),
+            Ok(source) => Err(Disconnect::Moved(source)),
             Err(_) => future::pending().await,
         }
     };
-    future::or(moved, async { work.await.map_err(End::Lost) }).await
+    future::or(next_source, async { work.await.map_err(Disconnect::Lost) }).await
 }
 
 /// Passes the known events on, then follows the bulletin for ever, wherever the latest source says it is.
 pub async fn run(mut source: RosterSource, sources: Receiver<RosterSource>, engine: Sender<EngineMessage>) {
     let mut reader = RosterReader::default();
     // How often the line behind the last event could not be read.
-    let mut spoilt = (0, 0);
+    let mut unreadable = (0, 0);
     loop {
-        reader.known(std::mem::take(&mut source.known_events), source.last_known_event, &engine).await;
-        let moved = match follow(source.addr, &mut reader, &sources, &engine, spoilt.1 >= PATIENCE).await {
-            End::Moved(to) => Some(to),
-            End::Lost(error) => {
-                tracing::warn!(%error, last = reader.last, "bulletin lost: connecting again");
-                telemetry::discovery_lost();
-                let again = error.kind() == io::ErrorKind::InvalidData && reader.last == spoilt.0;
-                spoilt = (reader.last, if again { spoilt.1 + 1 } else { 0 });
-                let pause = async {
-                    Timer::after(PAUSE).await;
-                    Ok(())
-                };
-                match or_moved(&sources, pause).await {
-                    Err(End::Moved(to)) => Some(to),
-                    _ => None,
+        reader.apply_known(std::mem::take(&mut source.known_events), source.last_known_event, &engine).await;
+        let next_source =
+            match follow_source(source.addr, &mut reader, &sources, &engine, unreadable.1 >= MAX_REREADS)
+                .await
+            {
+                Disconnect::Moved(new_source) => Some(new_source),
+                Disconnect::Lost(error) => {
+                    tracing::warn!(%error, last = reader.last_event, "bulletin lost: connecting again");
+                    telemetry::discovery_lost();
+                    let again =
+                        error.kind() == io::ErrorKind::InvalidData && reader.last_event == unreadable.0;
+                    unreadable = (reader.last_event, if again { unreadable.1 + 1 } else { 0 });
+                    let delay = async {
+                        Timer::after(RECONNECT_DELAY).await;
+                        Ok(())
+                    };
+                    match unless_moved(&sources, delay).await {
+                        Err(Disconnect::Moved(new_source)) => Some(new_source),
+                        _ => None,
+                    }
                 }
-            }
-        };
-        if let Some(to) = moved {
-            tracing::info!(bulletin = %to.addr, last = reader.last, "following another bulletin");
-            source = to;
+            };
+        if let Some(new_source) = next_source {
+            tracing::info!(bulletin = %new_source.addr, last = reader.last_event, "following another bulletin");
+            source = new_source;
         }
     }
 }
 
-async fn follow(
+async fn follow_source(
     addr: SocketAddr,
     reader: &mut RosterReader,
     sources: &Receiver<RosterSource>,
     engine: &Sender<EngineMessage>,
-    pass_over: bool,
-) -> End {
-    let asked = async {
-        let mut stream = with_timeout(SILENCE, TcpStream::connect(addr)).await?;
-        with_timeout(SILENCE, stream.write_all(format!("after {}\n", reader.last).as_bytes())).await?;
+    skip_unreadable: bool,
+) -> Disconnect {
+    let connect = async {
+        let mut stream = with_timeout(SILENCE_TIMEOUT, TcpStream::connect(addr)).await?;
+        with_timeout(SILENCE_TIMEOUT, stream.write_all(format!("after {}\n", reader.last_event).as_bytes()))
+            .await?;
         Ok(stream)
     };
-    let mut stream = match or_moved(sources, asked).await {
+    let mut stream = match unless_moved(sources, connect).await {
         Ok(stream) => stream,
-        Err(end) => return end,
+        Err(disconnect) => return disconnect,
     };
-    let mut held = Vec::new();
+    let mut buffer = Vec::new();
     let mut bytes = vec![0; 8192];
     // Bytes that end no line are as good as silence.
-    let mut heard = Instant::now();
+    let mut last_line = Instant::now();
     loop {
-        let left = SILENCE.saturating_sub(heard.elapsed());
-        match or_moved(sources, with_timeout(left, stream.read(&mut bytes))).await {
-            Ok(0) => return End::Lost(io::ErrorKind::UnexpectedEof.into()),
-            Ok(n) => held.extend_from_slice(&bytes[..n]),
-            Err(end) => return end,
+        let remaining = SILENCE_TIMEOUT.saturating_sub(last_line.elapsed());
+        match unless_moved(sources, with_timeout(remaining, stream.read(&mut bytes))).await {
+            Ok(0) => return Disconnect::Lost(io::ErrorKind::UnexpectedEof.into()),
+            Ok(n) => buffer.extend_from_slice(&bytes[..n]),
+            Err(disconnect) => return disconnect,
         }
-        while let Some(end) = held.iter().position(|b| *b == b'\n') {
-            let line: Vec<u8> = held.drain(..=end).collect();
+        while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
+            let line: Vec<u8> = buffer.drain(..=end).collect();
             let line = String::from_utf8_lossy(&line);
-            heard = Instant::now();
+            last_line = Instant::now();
             match reader.read_line(line.trim()) {
-                Ok(Some((full, listed))) => post(engine, EngineMessage::Roster { full, listed }).await,
+                Ok(Some((full, exchanges))) => {
+                    post(engine, EngineMessage::Roster { full, listed: exchanges }).await
+                }
                 Ok(None) => {}
-                Err(fault @ RosterError::Malformed(_)) if pass_over => {
+                Err(fault @ RosterError::Malformed(_)) if skip_unreadable => {
                     tracing::error!(%fault, "a line of the bulletin is passed over");
                 }
-                Err(fault) => return End::Lost(io::Error::new(io::ErrorKind::InvalidData, fault)),
+                Err(fault) => return Disconnect::Lost(io::Error::new(io::ErrorKind::InvalidData, fault)),
             }
         }
-        if held.len() > MOST {
-            return End::Lost(io::ErrorKind::InvalidData.into());
+        if buffer.len() > MAX_LINE_BYTES {
+            return Disconnect::Lost(io::ErrorKind::InvalidData.into());
         }
     }
 }
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -23,9 +23,9 @@
 use crate::telemetry;
 
 /// Messages that may wait for a connection that is being made, and datagrams for the socket.
-const WAITING: usize = 256;
+const MAX_WAITING_MESSAGES: usize = 256;
 /// The longest time from the first byte of a message to its last.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2200);
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
 
 /// What the actor is told.
 #[derive(Debug)]
@@ -70,41 +70,47 @@
     front: SipFront,
     agent: Agent,
     datagrams: Sender<(SocketAddr, Vec<u8>)>,
-    conns: BTreeMap<SocketAddr, (u64, ConnectionHandle)>,
+    connections: BTreeMap<SocketAddr, (u64, ConnectionHandle)>,
     connecting: BTreeMap<SocketAddr, VecDeque<Message>>,
-    next: u64,
+    next_connection_id: u64,
     /// Datagrams that could not be read.
     malformed: u64,
 }
 
 impl SipFront {
     /// Runs for ever.
-    pub async fn run(self, setup: Setup, udp: UdpSocket, tcp: TcpListener, mail: Receiver<SipFrontMessage>) {
-        let (datagrams, queue) = bounded(WAITING);
-        self.tasks.spawn(send(udp.clone(), queue)).detach();
+    pub async fn run(
+        self,
+        setup: Setup,
+        udp: UdpSocket,
+        tcp: TcpListener,
+        messages: Receiver<SipFrontMessage>,
+    ) {
+        let (datagrams, datagram_queue) = bounded(MAX_WAITING_MESSAGES);
+        self.tasks.spawn(send(udp.clone(), datagram_queue)).detach();
         self.tasks.spawn(receive(udp, self.mailbox.clone())).detach();
         self.tasks.spawn(accept(tcp, self.mailbox.clone())).detach();
         let mut state = State {
             front: self,
             agent: Agent::new(setup),
             datagrams,
-            conns: BTreeMap::new(),
+            connections: BTreeMap::new(),
             connecting: BTreeMap::new(),
-            next: 0,
+            next_connection_id: 0,
             malformed: 0,
         };
-        let mut out = Vec::new();
-        state.agent.start(&mut out);
-        state.carry_out(&mut out).await;
-        while let Ok(mail) = mail.recv().await {
-            state.take(mail, &mut out);
-            state.carry_out(&mut out).await;
+        let mut outputs = Vec::new();
+        state.agent.start(&mut outputs);
+        state.apply_outputs(&mut outputs).await;
+        while let Ok(message) = messages.recv().await {
+            state.handle_message(message, &mut outputs);
+            state.apply_outputs(&mut outputs).await;
         }
     }
 }
 
-async fn send(udp: UdpSocket, queue: Receiver<(SocketAddr, Vec<u8>)>) {
-    while let Ok((addr, bytes)) = queue.recv().await {
+async fn send(udp: UdpSocket, datagram_queue: Receiver<(SocketAddr, Vec<u8>)>) {
+    while let Ok((addr, bytes)) = datagram_queue.recv().await {
         if let Err(error) = udp.send_to(&bytes, addr).await {
             tracing::debug!(%addr, %error, "a datagram could not be sent");
         }
@@ -139,15 +145,17 @@
 }
 
 impl State {
-    fn take(&mut self, mail: SipFrontMessage, out: &mut Vec<Output>) {
+    fn handle_message(&mut self, message: SipFrontMessage, outputs: &mut Vec<Output>) {
         let now = self.front.clock.now();
-        match mail {
-            SipFrontMessage::ToCaller(id, near) => self.agent.near(now, id, near, out),
-            SipFrontMessage::ToExchange(office, id, far) => self.agent.far(now, office, id, far, out),
-            SipFrontMessage::TimerExpired(alarm) => self.agent.fired(now, alarm, out),
-            SipFrontMessage::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, out),
+        match message {
+            SipFrontMessage::ToCaller(id, command) => self.agent.near(now, id, command, outputs),
+            SipFrontMessage::ToExchange(exchange, id, command) => {
+                self.agent.far(now, exchange, id, command, outputs)
+            }
+            SipFrontMessage::TimerExpired(alarm) => self.agent.fired(now, alarm, outputs),
+            SipFrontMessage::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, outputs),
             SipFrontMessage::Accepted(stream, addr) => {
-                if self.conns.len() >= self.front.max_connections {
+                if self.connections.len() >= self.front.max_connections {
                     tracing::warn!(
                         most = self.front.max_connections,
                         "too many SIP connections: one is closed"
@@ -166,81 +174,87 @@
             SipFrontMessage::Connected(addr, Err(error)) => {
                 tracing::info!(%addr, %error, "no SIP connection came up");
                 self.connecting.remove(&addr);
-                self.agent.broken(now, tcp(addr), Failure::Unreached, out);
+                self.agent.broken(now, tcp(addr), Failure::Unreached, outputs);
             }
-            SipFrontMessage::Connection(addr, no, heard) => {
-                if self.conns.get(&addr).is_some_and(|(held, _)| *held == no) {
-                    self.heard(now, addr, heard, out);
+            SipFrontMessage::Connection(addr, connection_id, event) => {
+                if self.connections.get(&addr).is_some_and(|(current_id, _)| *current_id == connection_id) {
+                    self.handle_connection_event(now, addr, event, outputs);
                 }
             }
         }
     }
 
-    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
+    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], outputs: &mut Vec<Output>) {
         if bytes.iter().all(|b| matches!(b, b'\r' | b'\n' | 0)) {
             return; // Keeps a way through a NAT open.
         }
-        let read = if bytes.len() > MOST { None } else { Some(Message::datagram(bytes)) };
-        match read {
+        let parsed = if bytes.len() > MOST { None } else { Some(Message::datagram(bytes)) };
+        match parsed {
             Some(Ok(message)) => {
-                self.agent.receive(now, Hop { transport: Transport::Udp, addr }, message, out);
+                self.agent.receive(now, Hop { transport: Transport::Udp, addr }, message, outputs);
             }
-            Some(Err(fault)) => self.count(addr, fault.what),
-            None => self.count(addr, "it is too long"),
+            Some(Err(fault)) => self.count_malformed(addr, fault.what),
+            None => self.count_malformed(addr, "it is too long"),
         }
     }
 
-    fn count(&mut self, addr: SocketAddr, what: &str) {
+    fn count_malformed(&mut self, addr: SocketAddr, what: &str) {
         self.malformed += 1;
         tracing::warn!(%addr, what, count = self.malformed, "malformed datagram dropped");
     }
 
     fn open(&mut self, addr: SocketAddr, stream: TcpStream) {
-        self.next += 1;
-        let no = self.next;
-        let wrap = move |heard| SipFrontMessage::Connection(addr, no, heard);
+        self.next_connection_id += 1;
+        let connection_id = self.next_connection_id;
+        let wrap = move |event| SipFrontMessage::Connection(addr, connection_id, event);
         let (tasks, send_queues) = (&self.front.tasks, &self.front.send_queues);
-        let conn = ConnectionHandle::open(
+        let connection = ConnectionHandle::open(
             tasks,
             send_queues,
             stream,
             self.front.mailbox.clone(),
-            WHOLE_WITHIN,
+            MESSAGE_TIMEOUT,
             wrap,
         );
-        self.conns.insert(addr, (no, conn));
+        self.connections.insert(addr, (connection_id, connection));
     }
 
     fn write(&mut self, addr: SocketAddr, message: &Message) -> bool {
-        self.conns.get(&addr).is_some_and(|(_, conn)| conn.write(message))
+        self.connections.get(&addr).is_some_and(|(_, connection)| connection.write(message))
     }
 
-    fn heard(&mut self, now: Time, addr: SocketAddr, heard: ConnectionEvent, out: &mut Vec<Output>) {
-        match heard {
-            ConnectionEvent::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, out),
+    fn handle_connection_event(
+        &mut self,
+        now: Time,
+        addr: SocketAddr,
+        event: ConnectionEvent,
+        outputs: &mut Vec<Output>,
+    ) {
+        match event {
+            ConnectionEvent::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, outputs),
             ConnectionEvent::Message(Err(fault)) => {
                 tracing::warn!(%addr, %fault, "malformed SIP message");
-                let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                if known && !fault.response {
+                let has_call_id = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
+                if has_call_id && !fault.response {
                     self.write(addr, &Message::response(400, "Bad Request", &fault.headers));
                 } else {
                     // Nothing can be answered: the connection says so.
-                    self.conns.remove(&addr);
-                    self.agent.broken(now, tcp(addr), Failure::Broken, out);
+                    self.connections.remove(&addr);
+                    self.agent.broken(now, tcp(addr), Failure::Broken, outputs);
                 }
             }
-            ConnectionEvent::Ended(over) => {
-                if !matches!(over, CloseReason::Closed) {
-                    tracing::info!(%addr, ?over, "SIP connection lost");
+            ConnectionEvent::Ended(reason) => {
+                if !matches!(reason, CloseReason::Closed) {
+                    tracing::info!(%addr, over = ?reason, "SIP connection lost");
                 }
-                self.conns.remove(&addr);
-                self.agent.broken(now, tcp(addr), Failure::Broken, out);
+                self.connections.remove(&addr);
+                self.agent.broken(now, tcp(addr), Failure::Broken, outputs);
             }
         }
     }
 
-    async fn carry_out(&mut self, out: &mut Vec<Output>) {
-        for output in std::mem::take(out) {
+    async fn apply_outputs(&mut self, outputs: &mut Vec<Output>) {
+        for output in std::mem::take(outputs) {
             match output {
                 Output::Send(hop, alt, message) => self.send(hop, alt, message),
                 Output::Wake(at, alarm) => {
@@ -270,17 +284,17 @@
         let addr = alt.filter(|_| message.status().is_some()).unwrap_or(hop.addr);
         let connecting = self.connecting.contains_key(&addr);
         let waiting = self.connecting.entry(addr).or_default();
-        if waiting.len() < WAITING {
+        if waiting.len() < MAX_WAITING_MESSAGES {
             waiting.push_back(message);
         }
         if connecting {
             return;
         }
         let mailbox = self.front.mailbox.clone();
-        let limit = Duration::from_secs_f64(self.front.connect_timeout);
+        let timeout = Duration::from_secs_f64(self.front.connect_timeout);
         let connect = async move {
-            let got = with_timeout(limit, TcpStream::connect(addr)).await;
-            post(&mailbox, SipFrontMessage::Connected(addr, got)).await;
+            let connected = with_timeout(timeout, TcpStream::connect(addr)).await;
+            post(&mailbox, SipFrontMessage::Connected(addr, connected)).await;
         };
         self.front.tasks.spawn(connect).detach();
     }
