--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! The system's clocks, and the actor that turns the one timer wheel.
+//! The wall clock, and the actor that runs the timer wheel shared by all actors.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -15,7 +15,7 @@
 use crate::interface::{Secs, Time};
 use crate::sip::agent::Alarm;
 
-/// Unix time as it was at the start plus what has passed since: it never goes back.
+/// Unix time that never goes back: the wall clock at start plus the monotonic time since.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix_start: Secs,
@@ -23,33 +23,33 @@
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// Starts a clock at the present system time.
     pub fn system() -> Self {
         let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix_start: unix_start.as_secs_f64(), start: Instant::now() }
     }
 
-    /// Seconds of Unix time.
+    /// The present time in seconds since the Unix epoch.
     pub fn now(&self) -> Time {
         Time(self.unix_start + self.start.elapsed().as_secs_f64())
     }
 }
 
-/// What is to be done when a time has come.
+/// A timer, and so the actor that is notified when it expires.
 #[derive(Debug)]
 pub enum TimerKind {
-    /// The core wants to be woken.
+    /// A timer of the call table.
     Call(CallTimer),
-    /// The SIP front does.
+    /// A timer of the SIP front.
     Sip(Alarm),
-    /// The platform's front looks after its connections.
+    /// The platform front's periodic check of its connections.
     ConnectionCheck,
 }
 
-/// What the clock's actor is asked for.
+/// The mailbox of the clock actor: timers with their expiry times.
 pub type TimerSender = Sender<(Time, TimerKind)>;
 
-/// Turns the wheel: takes alarms from its mailbox and posts each when it is due.
+/// Runs the clock actor: takes timers from its mailbox and notifies the owner of each when it expires.
 pub async fn run(
     clock: Clock,
     mailbox: Receiver<(Time, TimerKind)>,
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -1,7 +1,8 @@
-//! One TCP connection that carries SIP messages: a reader, a writer with a bounded outbox, and its handle.
+//! A TCP connection that carries SIP messages: a reader, a writer with a bounded send queue, and the owner's handle.
 //!
-//! An outbox costs what it holds. All outboxes together hold no more than their part of the memory
-//! ([`crate::limits::memory`]): beyond it the connection that is furthest behind is cut.
+//! A send queue uses memory only for the bytes it holds. All send queues share one memory budget
+//! ([`crate::limits::memory`]). When it is exceeded, the connection with the longest queue is closed; one that never
+//! carried a call is closed first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,51 +22,51 @@
 use crate::sip::message::{Framer, Lost, Malformed, Message};
 use crate::telemetry;
 
-/// Bytes that may wait for a slow reader before its connection is given up.
+/// Length of a send queue, in bytes, beyond which a connection is closed because its peer reads too slowly.
 const MAX_QUEUED_BYTES: usize = 64 * 1024;
-/// A reader that takes nothing at all for this long is given up.
+/// Time limit of one write. A connection whose peer reads too little for so long is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most bytes read at a time.
+/// Bytes read per system call.
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// What a connection brings to its owner.
+/// What a connection reports to its owner.
 #[derive(Debug)]
 pub enum ConnectionEvent {
-    /// A message, or what stood in its place.
+    /// A message was received, or one that could not be parsed.
     Message(Result<Message, Malformed>),
-    /// It is over; nothing follows.
+    /// The connection has ended; this is its last event.
     Ended(CloseReason),
 }
 
-/// How a connection ended.
+/// Why a connection ended.
 #[derive(Debug)]
 pub enum CloseReason {
-    /// The other side closed it.
+    /// The peer closed it in order.
     Closed,
-    /// It broke.
+    /// An I/O error, such as a reset.
     Broken(io::Error),
-    /// The bounds of messages were lost.
+    /// The end of a message in the byte stream could not be determined.
     Framing(Lost),
-    /// A message began and its rest did not come.
+    /// A message was not complete within the message timeout.
     CutShort,
 }
 
-/// What waits to be written on one connection.
+/// The bytes waiting to be written to one connection.
 #[derive(Debug)]
 struct SendQueue {
     stream: TcpStream,
     pending: RefCell<Vec<u8>>,
-    /// Bytes that wait, with those in the hands of the writer.
+    /// Length of `pending` plus the bytes that the writer is sending.
     queued_bytes: Cell<usize>,
-    /// It has brought a call, or leads to an exchange.
+    /// The peer has set up a call, or is an exchange.
     carries_calls: Cell<bool>,
-    /// Only the way out is closed: what the other side has written is still read.
+    /// Only the write half is to be closed; the read half stays open.
     half_closing: Cell<bool>,
-    /// It was cut, and counts no longer.
+    /// The connection was aborted, and its bytes no longer count.
     aborted: Cell<bool>,
 }
 
-/// All outboxes of the proxy, and the bytes that they may hold together.
+/// All send queues of the proxy, with the memory budget they share.
 #[derive(Debug)]
 pub struct SendQueues {
     limit: usize,
@@ -75,12 +76,12 @@
 }
 
 impl SendQueues {
-    /// None yet, with so many bytes for all.
+    /// Creates an empty set with a budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<SendQueues> {
         Rc::new(SendQueues { limit, total: Cell::new(0), next_number: Cell::new(0), all: RefCell::default() })
     }
 
-    /// Bytes that wait on all connections.
+    /// Bytes queued on all connections.
     pub fn total_bytes(&self) -> usize {
         self.total.get()
     }
@@ -100,7 +101,7 @@
         self.total.set((self.total.get() + added).saturating_sub(written));
     }
 
-    /// Cuts whoever is furthest behind until what waits fits again.
+    /// Aborts connections, in the order given by [`slowest`], until the queued bytes fit the budget.
     fn enforce_limit(&self) {
         while self.total.get() > self.limit {
             let all = self.all.borrow();
@@ -115,34 +116,34 @@
             let Some(number) = slowest(all.iter().filter_map(queue)) else { return };
             let Some(send_queue) = all.get(&number).and_then(Weak::upgrade) else { return };
             telemetry::queue_cut("all queues");
-            self.abort(&send_queue, "all queues together hold too much");
+            self.abort(&send_queue, "the send queues exceed their memory budget");
         }
     }
 
-    /// Ends a connection and frees what waits on it.
+    /// Closes a connection and drops its queued bytes.
     fn abort(&self, send_queue: &SendQueue, reason: &'static str) {
         let peer = send_queue.stream.peer_addr().ok();
         tracing::warn!(
             ?peer,
             reason,
             bytes = send_queue.queued_bytes.get(),
-            "slow reader: connection closed"
+            "peer reads too slowly: connection closed"
         );
         let _ = send_queue.stream.shutdown(Shutdown::Both);
         send_queue.pending.borrow_mut().clear();
-        // With what the writer holds.
+        // Includes the bytes that the writer is still sending.
         self.adjust(send_queue, 0, send_queue.queued_bytes.get());
         send_queue.aborted.set(true);
     }
 }
 
-/// The owner's end of a connection. Dropping it lets what waits go out, then closes.
+/// The owner's handle of a connection. When it is dropped, queued messages are still sent, then the connection closes.
 #[derive(Debug)]
 pub struct ConnectionHandle {
     send_queues: Rc<SendQueues>,
     send_queue: Rc<SendQueue>,
     number: u64,
-    /// Wakes the writer; closed, the writer ends.
+    /// Wakes the writer. Closing this channel ends the writer once its queue is empty.
     wake: Sender<()>,
 }
 
@@ -156,8 +157,8 @@
 }
 
 impl ConnectionHandle {
-    /// Starts to read and write. Whatever is read goes to the mailbox under the number given. A message has to be
-    /// whole within a time from its first byte.
+    /// Starts the reader and the writer of a connected stream. Events are wrapped with `wrap` and sent to `mailbox`.
+    /// Each message has to be complete within `message_timeout` from its first byte.
     pub fn open<M: 'static>(
         tasks: &Tasks,
         send_queues: &Rc<SendQueues>,
@@ -166,7 +167,7 @@
         message_timeout: Duration,
         wrap: impl Fn(ConnectionEvent) -> M + 'static,
     ) -> ConnectionHandle {
-        // Small messages at once; where the option fails they only come later.
+        // Sends small messages without delay. If the option fails, they are only later.
         let _ = stream.set_nodelay(true);
         let send_queue = Rc::new(SendQueue {
             stream: stream.clone(),
@@ -183,32 +184,33 @@
         ConnectionHandle { send_queues: send_queues.clone(), send_queue, number, wake }
     }
 
-    /// It has brought a call, or leads to an exchange: others are cut before it.
+    /// Marks the connection as one that carries calls: others are closed first when the send queues grow too long.
     pub fn mark_carries_calls(&self) {
         self.send_queue.carries_calls.set(true);
     }
 
-    /// Lets what waits go out and closes the way out; what the other side still writes is heard until it closes too or
-    /// this is dropped.
+    /// Closes the write half after the queued messages. Messages from the peer are still received until the peer closes
+    /// its half or this handle is dropped.
     pub fn close_write(&self) {
         self.send_queue.half_closing.set(true);
         self.wake.close();
     }
 
-    /// Queues a message. A reader too slow to keep up loses its connection, so that nobody waits for it.
+    /// Queues a message without waiting; returns false if the connection is closing. A connection whose queue is too
+    /// long is closed, so that one slow peer delays no other.
     pub fn write(&self, message: &Message) -> bool {
         if self.wake.is_closed() || self.send_queue.aborted.get() {
             return false;
         }
         if self.send_queue.queued_bytes.get() > MAX_QUEUED_BYTES {
             telemetry::queue_cut("one queue");
-            self.send_queues.abort(&self.send_queue, "its reader is too slow");
+            self.send_queues.abort(&self.send_queue, "its send queue is too long");
             return false;
         }
         let bytes = message.bytes();
         self.send_queues.adjust(&self.send_queue, bytes.len(), 0);
         self.send_queue.pending.borrow_mut().extend_from_slice(&bytes);
-        // One that waits already wakes the writer for this as well.
+        // If a wake-up is already queued, it covers this message as well.
         let _ = self.wake.try_send(());
         self.send_queues.enforce_limit();
         true
@@ -230,7 +232,7 @@
         if written.is_err() {
             let pending = std::mem::take(&mut *send_queue.pending.borrow_mut()).len();
             send_queues.adjust(&send_queue, 0, pending);
-            // Whatever else is queued has nowhere to go.
+            // The connection has failed: later writes are refused.
             wake_ups.close();
             break;
         }
@@ -238,7 +240,7 @@
     let _ = stream.shutdown(if send_queue.half_closing.get() { Shutdown::Write } else { Shutdown::Both });
 }
 
-/// Reads what is there; between reads a connection holds no buffer.
+/// Reads the available bytes. The buffer is on the stack, so that an idle connection holds none.
 fn read_some(mut stream: &std::net::TcpStream, framer: &mut Framer) -> io::Result<usize> {
     let mut bytes = [0; READ_CHUNK_BYTES];
     let n = stream.read(&mut bytes)?;
@@ -279,7 +281,7 @@
                     if !post_throttled(&mailbox, wrap(ConnectionEvent::Message(message))).await {
                         return;
                     }
-                    // Whoever sends much at a time takes turns with all others.
+                    // Lets other actors run when a peer sends many messages at once.
                     future::yield_now().await;
                 }
                 Ok(None) => break,
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -1,4 +1,4 @@
-//! The actor of the module: holds the call table, hears all other actors and sends its commands out.
+//! The engine actor: owns the call table, feeds it the events of all other actors and carries out its effects.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,70 +18,71 @@
 use crate::recovery::shutdown::Shutdown;
 use crate::telemetry;
 
-/// A test passes after this time even if a state is still missing.
+/// The proxy reports itself ready after this time even if the state of some trunk group has not arrived.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
-/// After SIGTERM requests keep coming for a while, on the SIP front too.
+/// Shortest time in seconds from SIGTERM to the end: requests still arrive during it, on the SIP front too.
 const MIN_DRAIN_TIME: Secs = 1.0;
-/// Between two summaries of the counters in the log.
+/// Interval between two summaries of the counters in the log.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval of the checks whether a shutdown is complete.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the actor is told.
+/// Messages to the engine actor.
 #[derive(Debug)]
 pub enum EngineMessage {
-    /// Something for the core.
+    /// An event for the call table.
     Input(CallEvent),
-    /// News of the exchanges.
+    /// An update of the roster.
     Roster {
-        /// The whole list, or changes.
+        /// The entries are the whole roster; otherwise they are changes.
         full: bool,
-        /// Its lines.
+        /// The roster entries with their addresses.
         listed: Vec<ListedExchange>,
     },
-    /// The administration looks at the tenants.
+    /// The administration reads the tenants.
     ListTenants(Sender<Vec<(Tenant, Counts)>>),
-    /// The administration changes them.
+    /// The administration changes tenants.
     ChangeTenants(Vec<Change>, Sender<Result<(), ChangeError>>),
-    /// States have been waited for long enough.
+    /// The wait for the states of the trunk groups is over.
     ReadinessTimeout,
-    /// The program is to end once no call is left.
+    /// Shut down: end once no call is left.
     Drain,
-    /// A look at whether any is.
+    /// Check whether the shutdown is complete.
     CheckDrained,
-    /// After [`EngineMessage::Drain`]: the platform's front has no connection left and accepts none.
+    /// After [`EngineMessage::Drain`]: the platform front has no connection left and accepts no more.
     CallersDisconnected,
-    /// Time to log the counters.
+    /// Log the counters.
     LogSummary,
 }
 
-/// The actor's state.
+/// State of the engine actor.
 pub struct Engine {
     /// The call table.
     pub table: Table,
-    /// Its clock.
+    /// The clock.
     pub clock: Clock,
-    /// Where new actors start.
+    /// Executor of new actors.
     pub tasks: Tasks,
-    /// The own exchange.
+    /// The number of the own exchange.
     pub own_exchange: Option<ExchangeNumber>,
-    /// No caller waits longer than this.
+    /// The longest time in seconds that a caller of any class waits.
     pub longest_deadline: Secs,
-    /// What the actors of exchanges need.
+    /// Shared by the actors of all exchanges.
     pub peer_context: PeerContext,
-    /// The own mailbox.
+    /// Mailbox of this actor.
     pub mailbox: Sender<EngineMessage>,
-    /// The clock's actor.
+    /// Mailbox of the clock actor.
     pub timers: TimerSender,
-    /// The platform's front, unless it is off.
+    /// Mailbox of the platform front, if it is configured.
     pub platform: Option<Sender<PlatformMessage>>,
-    /// The SIP front, unless it is off.
+    /// Mailbox of the SIP front, if it is configured.
     pub sip: Option<Sender<SipFrontMessage>>,
-    /// The exchanges that speak SIP: they are on no list and always on.
+    /// The exchanges reached over SIP. The roster does not list them, and they are always in service.
     pub sip_exchanges: Vec<RosterEntry>,
 }
 
 impl Engine {
-    /// Runs until the program has drained.
+    /// Runs until a shutdown is requested and all calls have drained.
     pub async fn run(mut self, messages: Receiver<EngineMessage>) {
         let mut peers: BTreeMap<ExchangeId, Sender<PeerActorMessage>> = BTreeMap::new();
         let mut effects = Vec::new();
@@ -97,7 +98,7 @@
             match message {
                 EngineMessage::Input(input) => self.table.handle(now, input, &mut effects),
                 EngineMessage::Roster { full, listed } => {
-                    tracing::info!(whole = full, lines = listed.len(), "list");
+                    tracing::info!(whole = full, lines = listed.len(), "roster update");
                     let removed = self.apply_roster(full, &listed, &mut peers);
                     let mut entries: Vec<_> =
                         listed.into_iter().map(|listed_exchange| listed_exchange.entry).collect();
@@ -113,7 +114,7 @@
                     }
                 }
                 EngineMessage::ListTenants(reply) => {
-                    // Whoever asked may have left.
+                    // The requester may have disconnected.
                     let _ = reply.try_send(self.table.tenants().list());
                 }
                 EngineMessage::ChangeTenants(changes, reply) => {
@@ -127,7 +128,7 @@
                     let active_shutdown =
                         *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
                     if let Some(platform) = self.platform.clone() {
-                        // This actor waits for no other.
+                        // Sent from a task of its own, as this actor never waits for another one.
                         let send_drain =
                             async move { post(&platform, PlatformMessage::Drain(active_shutdown)).await };
                         self.tasks.spawn(send_drain).detach();
@@ -175,13 +176,13 @@
         self.tasks.spawn(wait).detach();
     }
 
-    /// Tells an exchange's actor of news.
+    /// Sends a message to the actor of an exchange.
     fn send_to_peer(&self, peer: &Sender<PeerActorMessage>, message: PeerActorMessage) {
-        // Its mailbox has no bound, and it ends by such news alone.
+        // The mailbox is unbounded, and the actor ends only when it is told that its exchange was removed.
         let _ = peer.try_send(message);
     }
 
-    /// Starts an actor for every new exchange and tells the others; returns those that are gone.
+    /// Starts an actor for each new exchange and updates the others. Returns the removed exchanges.
     fn apply_roster(
         &self,
         full: bool,
@@ -219,7 +220,7 @@
         effects: &mut Vec<CallEffect>,
         peers: &BTreeMap<ExchangeId, Sender<PeerActorMessage>>,
     ) {
-        // A command that can't be delivered may bring more.
+        // A set-up that can't be delivered makes the call table produce more effects.
         while !effects.is_empty() {
             for effect in std::mem::take(effects) {
                 tracing::trace!(command = ?effect);
@@ -236,7 +237,7 @@
                             }
                         };
                         if !delivered {
-                            tracing::error!("a front has ended: an answer is lost");
+                            tracing::error!("a front has ended: command to a caller lost");
                         }
                     }
                     CallEffect::Exchange(exchange_id, id, exchange_command) => {
@@ -254,10 +255,7 @@
                                 peers.get(&exchange_id).is_some_and(|peer| peer.try_send(message).is_ok())
                             };
                         if let (false, Some(leg)) = (delivered_to_exchange, set_up_leg) {
-                            tracing::warn!(
-                                office = exchange_id.0,
-                                "no way to an exchange: its set-up never left"
-                            );
+                            tracing::warn!(office = exchange_id.0, "exchange has no actor: set-up not sent");
                             let (outcome, cause) = (Outcome::ConnectFailed, Cause::Unspecified);
                             let (leg, report) = (Some(leg), LoadReport::default());
                             let input = CallEvent::SetUpFailed {
@@ -273,7 +271,7 @@
                     }
                     CallEffect::StartTimer(at, timer) => {
                         if self.timers.try_send((at, TimerKind::Call(timer))).is_err() {
-                            tracing::error!("the clock has ended: an alarm is lost");
+                            tracing::error!("the clock actor has ended: timer lost");
                         }
                     }
                     CallEffect::Log(text) => tracing::warn!("{text}"),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,6 @@
-//! The actors that hold sockets: the platform's front, one for each exchange, the list, the clock, and the
-//! module's own. All run on one thread; each owns its state and hears the others through its mailbox.
+//! The I/O of the proxy as a set of actors: the fronts, one actor per exchange, the roster client, the clock and the
+//! engine, which holds the call table. All actors run on one thread. Each owns its state and receives messages through
+//! its mailbox.
 
 pub mod clock;
 pub mod conn;
@@ -32,28 +33,29 @@
 use conn::SendQueues;
 use permits::Permits;
 
-/// Where actors run.
+/// The single-threaded executor that runs all actors.
 pub type Tasks = Rc<LocalExecutor<'static>>;
 
-/// Mails beyond which whoever brings more from outside waits. Mailboxes have no other bound: they cost what they hold,
-/// and nothing that is owed can be lost in a full one.
+/// Mailbox length from which [`post_throttled`] makes the sender wait. Mailboxes are otherwise unbounded: they use
+/// memory only for the messages they hold, and no message that has to be delivered is lost to a full mailbox.
 const BACKPRESSURE_THRESHOLD: usize = 64;
+/// Interval at which a waiting sender looks at the mailbox length again.
 const BACKPRESSURE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Hands something from outside to an actor once it has caught up; returns whether the actor is there.
-pub(crate) async fn post_throttled<M>(mailbox: &Sender<M>, messages: M) -> bool {
+/// Sends network input to a mailbox once its backlog is short enough. Returns false if the actor has ended.
+pub(crate) async fn post_throttled<M>(mailbox: &Sender<M>, message: M) -> bool {
     while mailbox.len() >= BACKPRESSURE_THRESHOLD {
         Timer::after(BACKPRESSURE_POLL_INTERVAL).await;
     }
-    mailbox.send(messages).await.is_ok()
+    mailbox.send(message).await.is_ok()
 }
 
-/// Sends to a mailbox; when its actor has ended the program ends as well.
-pub(crate) async fn post<M>(mailbox: &Sender<M>, messages: M) {
-    let _ = mailbox.send(messages).await;
+/// Sends to a mailbox. A failure is ignored: an actor ends only when the program does.
+pub(crate) async fn post<M>(mailbox: &Sender<M>, message: M) {
+    let _ = mailbox.send(message).await;
 }
 
-/// Does something, or gives up after a time.
+/// Runs an I/O operation; fails with `TimedOut` when the time limit passes first.
 pub(crate) async fn with_timeout<T>(
     timeout: Duration,
     work: impl Future<Output = io::Result<T>>,
@@ -78,7 +80,7 @@
 }
 
 impl Node {
-    /// Binds what the configuration names.
+    /// Binds all listeners that the configuration names.
     pub fn bind(config: Config) -> io::Result<Node> {
         let listen = |addr: SocketAddr| Async::<std::net::TcpListener>::bind(addr).map(TcpListener::from);
         let platform = config.platform.as_ref().map(|p| listen(p.listen)).transpose()?;
@@ -90,37 +92,37 @@
         Ok(Node { config, platform, sip, http, netconf, stop: bounded(1), reload: bounded(1) })
     }
 
-    /// Where the SIP front listens.
+    /// The address on which the SIP front listens.
     pub fn sip_addr(&self) -> Option<SocketAddr> {
         self.sip.as_ref().and_then(|(udp, _)| udp.local_addr().ok())
     }
 
-    /// Where the platform's front listens.
+    /// The address on which the platform front listens.
     pub fn platform_addr(&self) -> Option<SocketAddr> {
         self.platform.as_ref().and_then(|tcp| tcp.local_addr().ok())
     }
 
-    /// Where the tenants' API listens.
+    /// The address on which the tenants' HTTP API listens.
     pub fn http_addr(&self) -> Option<SocketAddr> {
         self.http.as_ref().and_then(|tcp| tcp.local_addr().ok())
     }
 
-    /// Where NETCONF listens.
+    /// The address on which the NETCONF server listens.
     pub fn netconf_addr(&self) -> Option<SocketAddr> {
         self.netconf.as_ref().and_then(|tcp| tcp.local_addr().ok())
     }
 
-    /// Something to be sent to tell the program to drain and end, as SIGTERM does.
+    /// A channel that starts the shutdown when `()` is sent to it, as SIGTERM does.
     pub fn shutdown_sender(&self) -> Sender<()> {
         self.stop.0.clone()
     }
 
-    /// Something to be sent to tell the program to read its configuration again, as SIGHUP does.
+    /// A channel that makes the proxy reload its configuration when `()` is sent to it, as SIGHUP does.
     pub fn reload_sender(&self) -> Sender<()> {
         self.reload.0.clone()
     }
 
-    /// Runs until it is told to end and has drained.
+    /// Runs the proxy until a shutdown is requested and all calls have drained.
     pub fn run(self) -> io::Result<()> {
         let tasks: Tasks = Rc::new(LocalExecutor::new());
         let inner = tasks.clone();
@@ -213,7 +215,7 @@
         let handle_signals = async move {
             while let Some(signal) = signals.next().await {
                 match signal {
-                    // One that waits already reads the same file.
+                    // If a reload is already queued, it will read the same file.
                     Ok(Signal::Hup) => drop(reload_requests.try_send(())),
                     _ => post(&drain_requests, engine::EngineMessage::Drain).await,
                 }
@@ -265,13 +267,13 @@
             sip_exchanges,
         };
         engine_actor.run(engine_messages).await;
-        // What is queued on connections goes out.
+        // Lets the writers send what is still queued on their connections.
         Timer::after(Duration::from_millis(50)).await;
         Ok(())
     }
 }
 
-/// Binds one port for UDP and TCP. Where any port will do, one that is free for both is looked for.
+/// Binds the same port for UDP and TCP. With port 0, retries until a port is found that is free for both.
 fn bind_both(addr: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
     let mut attempts_left = if addr.port() == 0 { 50 } else { 1 };
     loop {
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -1,4 +1,4 @@
-//! Calls at one exchange: commands out, answers and releases in.
+//! Calls at one exchange: sends commands, and handles answers and releases.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use crate::sip::{cause, verdict};
 use crate::wire;
 
-/// Set-ups that may wait while a connection is made. Releases wait without a bound of their own: each is of a call whose
-/// record the call table has counted.
+/// Limit of the set-ups that wait for a connection. Waiting releases have no limit of their own: each belongs to a call
+/// whose record counts against the limit of the call table.
 const MAX_QUEUED_SET_UPS: usize = 512;
-/// A set-up that a later one has overtaken is held for lost after this share of its time.
+/// A set-up overtaken by a later one counts as lost after this share of its time limit.
 const OVERTAKEN_SHARE: f64 = 0.2;
-/// Set-ups given up whose answer may still cross.
+/// Limit of the cancelled set-ups that are remembered because their answers may have crossed the CANCEL.
 const MAX_CANCELLED: usize = 256;
 
 impl Peer {
@@ -55,7 +55,7 @@
             ExchangeCommand::SetUp(_) | ExchangeCommand::Release { .. } => {
                 self.queued_commands.push_back((id, command))
             }
-            // A set-up that has not left needs no giving up: it is taken back.
+            // A set-up that was not sent yet needs no CANCEL.
             ExchangeCommand::CancelSetUp { .. } => {
                 self.queued_commands.retain(|(w, f)| *w != id || !matches!(f, ExchangeCommand::SetUp(_)));
             }
@@ -63,7 +63,7 @@
         self.connect();
     }
 
-    /// What waited for a connection gets none.
+    /// Fails the set-ups that wait for a connection. Releases go on waiting.
     pub(super) async fn fail_queued_set_ups(&mut self) {
         let (set_ups, releases): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queued_commands)
             .into_iter()
@@ -91,7 +91,8 @@
             .with("CSeq", format_args!("{cseq} {method}"))
     }
 
-    /// Puts a command on a connection: a set-up where the fewest are open, a release where something was heard last.
+    /// Sends a command: a set-up on the connection with the fewest unanswered and pending ones, a release on the
+    /// connection that received something last.
     pub(super) fn send_command(&mut self, id: CallId, command: ExchangeCommand) {
         let (connection_id, message) = match command {
             ExchangeCommand::SetUp(SetUp {
@@ -118,7 +119,7 @@
                     .insert(id, PendingInvite { leg, width, sent_at, expires_at, direct });
                 (*connection_id, message)
             }
-            // Given up where it is out.
+            // Handled by `cancel_set_up`, on the connection of its set-up.
             ExchangeCommand::CancelSetUp { .. } => return,
             ExchangeCommand::Release { .. } => {
                 let latest = self
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Calls off what is lost: a line goes in its order, and a set-up for it that was sent later stands.
+    /// Cancels set-ups that are lost: an exchange answers in order, and a set-up that was sent later is established.
     async fn cancel_overtaken(&mut self) {
         let (now, latest) = (self.now(), self.latest_answered_send);
         let overtaken = |invite: &PendingInvite| {
@@ -175,7 +176,11 @@
             }
         }
         for (connection_id, id, leg) in lost {
-            tracing::debug!(office = self.exchange.0, call = id.0, "set-up overtaken: called off");
+            tracing::debug!(
+                office = self.exchange.0,
+                call = id.0,
+                "set-up overtaken by a later one: cancelled"
+            );
             self.send_cancel(connection_id, id.clone());
             self.set_up_failed(id, Some(leg), Outcome::Cancelled, Cause::Unspecified, LoadReport::default())
                 .await;
@@ -220,7 +225,7 @@
         if status < 200 {
             return;
         }
-        // Answers are matched by Call-ID and method alone: the number in CSeq tells no attempt.
+        // Answers are matched by Call-ID and method alone: exchanges do not repeat the number in CSeq.
         let now = self.now();
         let invite = self.connections.get_mut(&connection_id).and_then(|connection| {
             (connection.last_answer, connection.unanswered_set_ups) = (now, 0);
@@ -229,8 +234,8 @@
         let leg = invite.as_ref().map(|invite| invite.leg);
         let cancelled_at = self.cancelled.iter().position(|cancelled| *cancelled == id);
         if leg.is_none() && cancelled_at.is_none() {
-            // A second copy, or an id that nobody asked for: it ends nothing that is open elsewhere.
-            tracing::debug!(office = self.exchange.0, call = id.0, "answer to nothing that is open");
+            // A duplicate, or an unknown id: it must not end a set-up that is pending on another connection.
+            tracing::debug!(office = self.exchange.0, call = id.0, "answer without a pending set-up ignored");
             return;
         }
         self.write(connection_id, &self.request("ACK", "call", &id, 1));
@@ -258,7 +263,7 @@
     }
 }
 
-/// The report that a message carries in `X-Gauges`; what can't be read is left out.
+/// The load report that a message carries in `X-Gauges`. Unreadable values are left out.
 pub(super) fn report_of(message: &Message) -> LoadReport {
     let pairs = message.get("X-Gauges").unwrap_or_default().split(';').filter_map(|pair| {
         let (name, value) = pair.split_once(':')?;
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -1,4 +1,4 @@
-//! The connections to one exchange: opened, lost, replaced and given up.
+//! The connections to one exchange: opening, loss, replacement and closing.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
 use crate::net::with_timeout;
 use crate::telemetry;
 
-/// Between two tries to connect.
+/// Pause in seconds before the next attempt to connect.
 const RECONNECT_DELAY: Secs = 0.2;
-/// Until another exchange has given a connection up.
+/// Pause in seconds before a permit is requested again, while another exchange gives a connection up.
 const PERMIT_RETRY_DELAY: Secs = 0.02;
-/// A message that has begun and is not whole within this is no message.
+/// Time within which a message has to be complete, from its first byte.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a connection is listened to after its way out was closed.
+/// How long, in seconds, the read half of a retired connection stays open.
 const RETIRE_TIME: Secs = 1.0;
-/// The same where another exchange waits for its descriptor.
+/// The same when the descriptor is needed elsewhere, or the exchange drains.
 const RETIRE_TIME_URGENT: Secs = 0.25;
 
 impl Peer {
-    /// Opens what is missing, as far as the budget of connections allows.
+    /// Opens missing connections, as far as permits are granted.
     pub(super) fn connect(&mut self) {
         while !self.reconnect_scheduled && self.service_state == ServiceState::InService {
             let connection_count = self.connections.len() + self.connecting;
@@ -45,7 +45,7 @@
                 PermitDecision::Denied if purpose == Purpose::Needed => {
                     return self.schedule_reconnect(RECONNECT_DELAY)
                 }
-                // It is asked for again when it is needed.
+                // The permit is requested again when a connection is needed.
                 PermitDecision::Denied => return,
             }
         }
@@ -105,16 +105,16 @@
         }
     }
 
-    /// A connection does not come up. Where there is no other nothing ran, and if the last one was lost just before,
-    /// the process is dead.
+    /// An attempt to connect failed. Without another connection, no queued set-up was sent. If the attempt was refused
+    /// and the last connection was lost before, the process is dead.
     pub(super) async fn connect_failed(&mut self, error: std::io::Error) {
         self.connecting -= 1;
         self.verify_next = false;
         telemetry::exchange_connect_failed(&error);
-        tracing::debug!(office = self.exchange.0, %error, "connection refused");
+        tracing::debug!(office = self.exchange.0, %error, "connecting to the exchange failed");
         if self.connections.is_empty() && self.connecting == 0 {
             self.fail_queued_set_ups().await;
-            // One that does not come up in time says less: the lease of the calls decides.
+            // A timeout proves less than a refusal: the liveness lease decides on the calls.
             let refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
             if refused && std::mem::take(&mut self.last_connection_lost) {
                 self.exchange_died().await;
@@ -124,7 +124,7 @@
     }
 
     async fn exchange_died(&mut self) {
-        tracing::warn!(office = self.exchange.0, "exchange died: its calls are released");
+        tracing::warn!(office = self.exchange.0, "exchange process is dead: its calls are released");
         self.last_connection_lost = false;
         self.liveness.died();
         self.send_event(CallEvent::ExchangeDown(self.exchange)).await;
@@ -142,7 +142,8 @@
         self.verifying_connection = self.verifying_connection.filter(|verifying| *verifying != connection_id);
         telemetry::exchange_connection_lost();
         if ended_by_proxy {
-            // An answer may have crossed, or was the one that could not be read: nothing is left standing for it.
+            // The exchange may have answered these set-ups, perhaps in the message that could not be read. A release makes
+            // sure that it keeps no call established.
             for (id, invite) in &lost.pending_set_ups {
                 let release = ExchangeCommand::Release { leg: Some(invite.leg) };
                 match self.connections.is_empty() {
@@ -156,14 +157,15 @@
             connection = connection_id,
             why = reason,
             open = lost.pending_set_ups.len(),
-            "connection lost"
+            "connection to the exchange lost"
         );
         let last = self.connections.is_empty();
         self.last_connection_lost |= last;
         self.connect();
         self.fail_pending_set_ups(lost).await;
         if last && self.service_state == ServiceState::Draining {
-            // It has stopped. Whoever listens at its address next is another one, and is on the list as such.
+            // A draining exchange has stopped. A process that listens at its address later is another exchange, with its
+            // own roster entry.
             self.exchange_died().await;
         }
     }
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Replaces a connection that brought no answer to what was sent last, once nothing is open on it.
+    /// Replaces a connection with unanswered set-ups, once no set-up is pending on it.
     pub(super) fn replace_unanswered(&mut self, connection_id: u64) {
         if self
             .connections
@@ -193,13 +195,13 @@
         tracing::info!(
             office = self.exchange.0,
             connection = connection_id,
-            "connection without answers: replaced"
+            "connection does not answer: replaced"
         );
         self.retire(connection_id, RETIRE_TIME);
         self.connect();
     }
 
-    /// Closes the connection that has been quiet the longest, where there are more than are wanted.
+    /// Closes the connection that has been quiet the longest, if there are too many and no liveness check uses one.
     pub(super) fn close_surplus(&mut self, keep: u64) {
         if self.connections.len() > MAX_CONNECTIONS && self.verifying_connection.is_none() {
             if let Some(connection_id) = self.quietest(Some(keep)) {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// The connection without open set-ups that has been quiet the longest.
+    /// The connection without pending set-ups that has been quiet the longest.
     fn quietest(&self, keep: Option<u64>) -> Option<u64> {
         let idle = self
             .connections
@@ -218,7 +220,8 @@
             .map(|(connection_id, _)| *connection_id)
     }
 
-    /// Closes the way out of a connection; what the other side still says on it, as a release, is heard for a while.
+    /// Closes the write half of a connection. What the exchange still sends on it, such as a release, is received for
+    /// `retire_time` seconds.
     fn retire(&mut self, connection_id: u64, retire_time: Secs) {
         let Some(connection) = self.connections.remove(&connection_id) else { return };
         connection.handle.close_write();
@@ -228,7 +231,7 @@
         self.post_later(retire_time, PeerActorMessage::RetirementOver(connection_id));
     }
 
-    /// Another exchange needs a connection more: the quietest goes, unless calls depend on it.
+    /// Closes the quietest connection, as another exchange needs one more urgently, unless calls depend on it.
     pub(super) async fn give_up_connection(&mut self) {
         let only = self.connections.len() + self.connecting <= 1;
         let quietest = self.quietest(None).filter(|_| !(only && self.is_busy()));
@@ -246,12 +249,12 @@
         self.connections.remove(&connection_id);
         self.liveness.closed(self.now(), connection_id, Ending::Broken);
         if self.connections.is_empty() {
-            // Its state is not told any longer.
+            // Without a connection the state of the trunk group is no longer reported.
             self.send_event(CallEvent::StatusLost(self.exchange)).await;
         }
     }
 
-    /// Nothing new goes to an exchange that drains: its connections are closed once nothing is left there.
+    /// Closes the connections to a draining exchange once it has no pending set-ups and no established calls.
     pub(super) fn close_if_drained(&mut self) {
         if self.service_state != ServiceState::Draining || self.is_busy() {
             return;
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -1,5 +1,5 @@
-//! The actor of one exchange on the platform's protocol: keeps connections open, sends set-ups, hears answers, releases
-//! and states.
+//! The actor of one exchange that speaks the platform's protocol. It keeps connections to the exchange open, sends it
+//! set-ups and releases, and receives answers, releases and trunk group states.
 
 mod calls;
 mod connections;
@@ -25,114 +25,119 @@
 use crate::membership::liveness::{Ending, Liveness, Timing};
 use crate::sip::message::Message;
 
-/// Connections to one exchange at best: what spoils one ends only the set-ups on it. States come on four at most.
+/// Most connections to one exchange. With several, the failure of one ends only the set-ups pending on it. An exchange
+/// sends its state on four connections at most.
 pub const MAX_CONNECTIONS: usize = BEST;
 
-/// What the actor is told.
+/// Messages to the actor of an exchange.
 #[derive(Debug)]
 pub enum PeerActorMessage {
-    /// A command for a call.
+    /// A command of the call table for one call.
     Command(CallId, ExchangeCommand),
-    /// The list says so.
+    /// The service state on the roster.
     StateChanged(ServiceState),
-    /// The list says that its process started then.
+    /// The start time of its process on the roster.
     StartedAt(Time),
-    /// A connection has come up, or has not.
+    /// An attempt to connect has succeeded or failed.
     Connected(std::io::Result<TcpStream>, Permit),
-    /// A connection, by its number, brings something.
+    /// An event of a connection, given by its id.
     Connection(u64, ConnectionEvent),
-    /// Time to connect again.
+    /// Try again to open the missing connections.
     Reconnect,
-    /// Time to look whether the exchange is alive.
+    /// Run the liveness check.
     CheckLiveness,
-    /// Another exchange needs a connection more.
+    /// Another exchange needs a connection more urgently: close one if possible.
     GiveUpConnection,
-    /// A connection whose way out is closed has been listened to for long enough.
+    /// The time to keep the read half of a retired connection open is over.
     RetirementOver(u64),
 }
 
-/// What all exchanges' actors need.
+/// Shared by the actors of all exchanges.
 #[derive(Clone)]
 pub struct PeerContext {
-    /// Where new actors start.
+    /// Executor of new actors.
     pub tasks: Tasks,
-    /// The proxy's name.
+    /// Name of this proxy.
     pub name: Rc<str>,
-    /// How long a connection may take to come up.
+    /// Time limit in seconds for opening a connection.
     pub connect_timeout: Secs,
-    /// Its clock.
+    /// The clock.
     pub clock: Clock,
-    /// The core.
+    /// Mailbox of the engine.
     pub engine: Sender<EngineMessage>,
-    /// The connections to all exchanges.
+    /// The permits for connections to all exchanges.
     pub permits: Rc<Permits>,
-    /// What waits to be written on all connections.
+    /// The send queues of all connections.
     pub send_queues: Rc<SendQueues>,
 }
 
-/// One connection.
+/// An open connection to the exchange.
 struct PeerConnection {
     handle: ConnectionHandle,
     _permit: Permit,
-    /// When it came up.
+    /// When it was opened.
     connected_at: Time,
-    /// When it last brought anything.
+    /// When a message was last received on it.
     last_received: Time,
-    /// When it last brought an answer to a set-up.
+    /// When an answer to a set-up was last received on it; at first, when it was opened.
     last_answer: Time,
-    /// Set-ups that were lost or ran out since.
+    /// Signs since then that it does not work: set-ups that were overtaken or timed out, and missing states.
     unanswered_set_ups: u32,
-    /// Set-ups open on it.
+    /// Set-ups sent on it that are not answered.
     pending_set_ups: BTreeMap<CallId, PendingInvite>,
 }
 
-/// A set-up that is out.
+/// A set-up that was sent and is not answered.
 struct PendingInvite {
     leg: u32,
     width: u32,
     sent_at: Time,
     expires_at: Time,
-    /// It stands in this exchange's line alone: what overtakes it there shows that it is lost.
+    /// It goes straight to its destination and so waits at this exchange alone, in the order of sending. An answer to a
+    /// later set-up shows that this one is lost.
     direct: bool,
 }
 
+/// State of the actor.
 struct Peer {
     exchange: ExchangeId,
     addr: SocketAddr,
     context: PeerContext,
     own_mailbox: Sender<PeerActorMessage>,
     service_state: ServiceState,
-    /// Connections by number; what one that is no longer here still brings is ignored.
+    /// Open connections by id. Events of other connections are ignored, except messages on retired ones.
     connections: BTreeMap<u64, PeerConnection>,
-    /// Connections whose way out is closed, for what the other side still says.
+    /// Connections with a closed write half, kept for what the exchange still sends on them.
     retired: BTreeMap<u64, (ConnectionHandle, Permit)>,
     next_connection_id: u64,
+    /// Number of connections being opened.
     connecting: usize,
-    /// A try to connect is due.
+    /// A [`PeerActorMessage::Reconnect`] is scheduled.
     reconnect_scheduled: bool,
-    /// The last connection was lost and no new one has come up since.
+    /// The only remaining connection was lost, and no new one has been opened since.
     last_connection_lost: bool,
-    /// The latest sending of a set-up that stands.
+    /// The latest sending time of a direct set-up that was answered with success.
     latest_answered_send: Time,
-    /// What waits for a connection.
+    /// Commands that wait for a connection.
     queued_commands: VecDeque<(CallId, ExchangeCommand)>,
+    /// The latest set-ups that were cancelled; an answer may have crossed the CANCEL.
     cancelled: VecDeque<CallId>,
     liveness: Liveness,
-    /// When the next liveness check is due, if one is under way.
+    /// When the next liveness check is due, if one is scheduled.
     next_check_at: Option<Time>,
-    /// The last check came late and was put off.
+    /// The last check ran late and was postponed.
     check_postponed: bool,
-    /// A connection opened for a liveness check that has brought nothing yet.
+    /// A connection opened for a liveness check, on which nothing has been received yet.
     verifying_connection: Option<u64>,
-    /// The next connection that comes up is one.
+    /// The next connection to be opened is for a liveness check.
     verify_next: bool,
-    /// What the budget of connections was last told.
+    /// The value of [`Peer::is_busy`] last reported to the permits.
     reported_busy: bool,
 }
 
-/// Starts the actor; it ends when its exchange is gone.
+/// Starts the actor of an exchange and returns its mailbox. It ends when the roster removes the exchange.
 pub fn start(context: PeerContext, exchange: ExchangeId, addr: SocketAddr) -> Sender<PeerActorMessage> {
-    // What is posted here is bounded by those who post: calls by their records, connections by the readers' turns.
+    // The senders bound what is queued here: the call table by its call records, the connections by throttled reads.
     let (mailbox, messages) = unbounded();
     context.permits.add_exchange(exchange, mailbox.clone());
     let peer = Peer {
@@ -206,9 +211,9 @@
         }
     }
 
-    /// The exchange is gone. Whatever is still queued goes out before the connections close.
+    /// Ends the actor after the exchange was removed. Queued messages are still sent before the connections close.
     async fn shut_down(mut self) {
-        tracing::info!(office = self.exchange.0, addr = %self.addr, "exchange gone");
+        tracing::info!(office = self.exchange.0, addr = %self.addr, "exchange removed from the roster");
         self.service_state = ServiceState::Removed;
         self.context.permits.remove_exchange(self.exchange);
         let connections = std::mem::take(&mut self.connections);
@@ -221,12 +226,13 @@
     async fn set_service_state(&mut self, service_state: ServiceState) {
         self.service_state = service_state;
         if service_state == ServiceState::Draining {
-            // Nothing that waited for a connection may leave once it drains.
+            // A draining exchange must get no new set-ups, not even those that waited for a connection.
             self.fail_queued_set_ups().await;
         }
     }
 
-    /// The list tells of a new start. A machine that vanished left its connections open and silent.
+    /// The roster reports a new start of the process. If the old machine vanished, its connections are still open and
+    /// silent, so those from before the start are closed.
     async fn exchange_restarted(&mut self, at: Time) {
         self.liveness.restarted(at);
         let older = self.connections.iter().filter(|(_, c)| c.connected_at < at);
@@ -235,7 +241,7 @@
             tracing::info!(
                 office = self.exchange.0,
                 connection = connection_id,
-                "exchange restarted: connecting again"
+                "exchange restarted: old connection closed"
             );
             self.liveness.closed(self.now(), connection_id, Ending::Broken);
             if let Some(connection) = self.connections.remove(&connection_id) {
@@ -251,7 +257,7 @@
                 self.record_activity(connection_id, &message);
                 self.handle_sip_message(connection_id, message).await;
             }
-            // Nothing that follows on the same connection can be trusted.
+            // After a malformed message the rest of the stream can't be trusted.
             ConnectionEvent::Message(Err(error)) => {
                 self.connection_lost(connection_id, error.to_string(), true, Ending::Broken).await
             }
@@ -269,7 +275,7 @@
         self.context.clock.now()
     }
 
-    /// Set-ups are open here or wait, or calls stand.
+    /// Set-ups are pending or queued, or calls are established at the exchange.
     fn is_busy(&self) -> bool {
         let open = self.connections.values().any(|c| !c.pending_set_ups.is_empty());
         open || !self.queued_commands.is_empty() || self.liveness.calls() > 0
@@ -283,7 +289,7 @@
         }
     }
 
-    /// Posts something to this actor after a time.
+    /// Sends a message to this actor after a time.
     fn post_later(&self, seconds: Secs, message: PeerActorMessage) {
         let mailbox = self.own_mailbox.clone();
         let wait = Duration::from_secs_f64(seconds.max(0.001));
--- a/src/net/peer/watch.rs
+++ b/src/net/peer/watch.rs
@@ -1,4 +1,4 @@
-//! Carries out what the failure detector of the exchange ([`crate::membership::liveness`]) asks for.
+//! Runs the failure detector of an exchange ([`crate::membership::liveness`]) and carries out its decisions.
 
 use super::{Peer, PeerActorMessage};
 use crate::calls::{CallEvent, ExchangeCommand};
@@ -9,13 +9,13 @@
 use crate::sip::message::Message;
 use crate::telemetry;
 
-/// A check that comes so much later than asked for finds messages that were not read yet: they go first.
+/// A liveness check that runs this many seconds late is postponed: received messages may not have been read yet.
 const STALL_THRESHOLD: Secs = 0.25;
-/// Until then the check waits after such a stall.
+/// Delay in seconds of a check postponed for this reason.
 const STALL_RECHECK_DELAY: Secs = 0.1;
 
 impl Peer {
-    /// A message has come: whoever is at the other end is alive.
+    /// Records a received message as proof that the exchange is alive.
     pub(super) fn record_activity(&mut self, connection_id: u64, message: &Message) {
         let now = self.now();
         if let Some(connection) = self.connections.get_mut(&connection_id) {
@@ -31,14 +31,14 @@
             tracing::debug!(
                 office = self.exchange.0,
                 connection = connection_id,
-                "exchange alive: it told its state"
+                "exchange is alive: message received on the new connection"
             );
             self.verifying_connection = None;
         }
         self.close_surplus(connection_id);
     }
 
-    /// Asks for the next check, if none that is early enough is under way.
+    /// Schedules the next liveness check, unless one that is early enough is scheduled already.
     pub(super) fn schedule_check(&mut self) {
         let Some(at) = self.liveness.next_check(self.now()) else { return };
         if self.next_check_at.is_none_or(|planned| planned > at) {
@@ -56,11 +56,11 @@
         let Some(at) = self.next_check_at.take() else { return };
         self.check_postponed = now - at > STALL_THRESHOLD && !self.check_postponed;
         if self.check_postponed {
-            // This proxy itself stood still: what came meanwhile is read first.
+            // This proxy itself was stalled: messages that arrived meanwhile are read first.
             tracing::warn!(
                 office = self.exchange.0,
                 late_s = now - at,
-                "liveness check put off: the proxy stood still"
+                "proxy was stalled: liveness check postponed"
             );
             return self.schedule_check_at(now + STALL_RECHECK_DELAY);
         }
@@ -73,12 +73,12 @@
         }
     }
 
-    /// A connection misses states that others bring.
+    /// Replaces a connection that misses states which others receive.
     fn replace_silent(&mut self, connection_id: u64) {
         tracing::info!(
             office = self.exchange.0,
             connection = connection_id,
-            "connection without states: replaced"
+            "connection receives no states: replaced"
         );
         telemetry::exchange_connection_silent();
         if let Some(connection) = self.connections.get_mut(&connection_id) {
@@ -87,10 +87,10 @@
         self.replace_unanswered(connection_id);
     }
 
-    /// Opens one more connection, to hear whether the exchange is alive.
+    /// Opens one more connection to find out whether the exchange is alive.
     async fn verify_exchange(&mut self) {
         if let Some(connection_id) = self.verifying_connection.take() {
-            self.connection_lost(connection_id, "it told no state".to_owned(), false, Ending::Broken).await;
+            self.connection_lost(connection_id, "no state received".to_owned(), false, Ending::Broken).await;
         }
         let stopped = self.service_state == ServiceState::Draining && self.connections.is_empty();
         if self.connecting > 0 || stopped {
@@ -98,26 +98,30 @@
         }
         let PermitDecision::Granted(permit) = self.context.permits.request(self.exchange, Purpose::Verify)
         else {
-            // The detector asks again before the lease is over.
+            // The detector asks again before the liveness lease runs out.
             return;
         };
         tracing::debug!(
             office = self.exchange.0,
             calls = self.liveness.calls(),
-            "silent exchange: connecting once more"
+            "exchange is silent: opening a connection to verify it"
         );
         telemetry::exchange_verified();
         self.verify_next = true;
         self.open_connection(permit);
     }
 
-    /// Nothing proves any longer that these calls stand.
+    /// Releases calls whose liveness lease has run out: nothing proves any longer that they are established.
     async fn release_expired_calls(&mut self, calls: Vec<CallId>, connections: Vec<u64>) {
         let office = self.exchange.0;
-        tracing::warn!(office, calls = calls.len(), "exchange silent: its calls are released");
+        tracing::warn!(
+            office,
+            calls = calls.len(),
+            "liveness lease of the exchange expired: its calls are released"
+        );
         telemetry::exchange_lease_expired(calls.len());
         for id in &calls {
-            tracing::debug!(office, call = id.0, "call released: its exchange is silent");
+            tracing::debug!(office, call = id.0, "call released: liveness lease of its exchange expired");
             let (id, report) = (id.clone(), LoadReport::default());
             self.send_event(CallEvent::ExchangeReleased {
                 id,
@@ -130,7 +134,7 @@
         for connection_id in connections {
             self.connection_lost(connection_id, "silent".to_owned(), false, Ending::Broken).await;
         }
-        // Should it come back with them, it has to end them as well.
+        // If the exchange comes back with these calls, it has to release them as well.
         for id in calls {
             self.command(id, ExchangeCommand::Release { leg: None }).await;
         }
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -1,5 +1,5 @@
-//! The connections to exchanges, counted over all their actors. Whoever opens one holds a [`Permit`] for as long as its
-//! descriptor is in use. What is decided is decided by [`crate::limits::connection_limit`].
+//! Permits for connections to exchanges, shared by the actors of all exchanges. An actor holds a [`Permit`] for as long
+//! as the descriptor of its connection is in use. [`crate::limits::connections`] decides who gets one.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,25 +13,25 @@
 use crate::limits::connections::{ConnectionBudget, Grant, Purpose};
 use crate::telemetry;
 
-/// What an actor that asks for a connection is told.
+/// The answer to a request for a connection.
 #[derive(Debug)]
 pub enum PermitDecision {
-    /// It may open one.
+    /// A connection may be opened.
     Granted(Permit),
-    /// Another exchange was asked to give one up: ask again in a moment.
+    /// Another exchange was asked to give a connection up: ask again shortly.
     Wait,
-    /// Not now.
+    /// No connection is available now.
     Denied,
 }
 
-/// The budget and those who share it.
+/// The connection budget and the actors that share it.
 pub struct Permits {
     clock: Clock,
     budget: RefCell<ConnectionBudget>,
     peers: RefCell<BTreeMap<ExchangeId, Sender<PeerActorMessage>>>,
 }
 
-/// The right to one descriptor for an exchange. Dropped, it is free again.
+/// The right to use one descriptor for an exchange; returned to the budget when dropped.
 pub struct Permit {
     permits: Rc<Permits>,
     exchange: ExchangeId,
@@ -50,13 +50,13 @@
 }
 
 impl Permits {
-    /// So many connections to all exchanges together.
+    /// Creates a budget of `limit` connections for all exchanges together.
     pub fn new(clock: Clock, limit: usize) -> Rc<Permits> {
         let budget = RefCell::new(ConnectionBudget::new(limit));
         Rc::new(Permits { clock, budget, peers: RefCell::default() })
     }
 
-    /// An exchange is there. Says once where not every exchange can have a connection.
+    /// Adds an exchange. Logs a warning when from now on not every exchange can have a connection.
     pub fn add_exchange(&self, exchange: ExchangeId, mailbox: Sender<PeerActorMessage>) {
         let mut budget = self.budget.borrow_mut();
         let fitted_before = budget.fits();
@@ -72,28 +72,28 @@
         self.peers.borrow_mut().insert(exchange, mailbox);
     }
 
-    /// An exchange is gone.
+    /// Removes an exchange.
     pub fn remove_exchange(&self, exchange: ExchangeId) {
         self.budget.borrow_mut().gone(exchange);
         self.peers.borrow_mut().remove(&exchange);
     }
 
-    /// An exchange has set-ups open or calls that stand, or has none any more.
+    /// Records whether an exchange has pending set-ups or established calls.
     pub fn set_in_use(&self, exchange: ExchangeId, busy: bool) {
         self.budget.borrow_mut().in_use(self.clock.now(), exchange, busy);
     }
 
-    /// An exchange can't give a connection up now.
+    /// An exchange was asked to give a connection up, and can't at present.
     pub fn decline_release(&self, exchange: ExchangeId) {
         self.budget.borrow_mut().refused(exchange);
     }
 
-    /// Connections held.
+    /// The number of connections that hold a permit.
     pub fn open_connections(&self) -> usize {
         self.budget.borrow().held()
     }
 
-    /// An exchange wants a connection.
+    /// Requests a connection to an exchange.
     pub fn request(self: &Rc<Self>, exchange: ExchangeId, purpose: Purpose) -> PermitDecision {
         let grant = self.budget.borrow_mut().ask(exchange, purpose);
         match grant {
@@ -104,10 +104,10 @@
                     office = exchange.0,
                     victim = victim.0,
                     ?purpose,
-                    "asked for a connection of another"
+                    "connection requested from another exchange"
                 );
                 if let Some(peer) = self.peers.borrow().get(&victim) {
-                    // One whose actor has ended has given all up.
+                    // An actor that has ended has returned its permits already.
                     let _ = peer.try_send(PeerActorMessage::GiveUpConnection);
                 }
                 PermitDecision::Wait
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: callers' connections on one side, the core on the other. Translation only.
+//! The platform front: translates between the callers' connections and the engine. It takes no decisions on calls.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -21,89 +21,93 @@
 use crate::sip::message::{header, Message, Start};
 use crate::telemetry;
 
-/// A message has to be whole within this, and a connection has to bring a request that is taken.
+/// Time in seconds within which a message has to be complete, and a new connection has to send a valid request.
 const MESSAGE_TIMEOUT: Secs = 2.2;
-/// A connection without an open set-up that has been quiet for this long is closed; callers do so after 4 s.
+/// Seconds after which an idle connection without a pending set-up is closed; callers close theirs after 4 s.
 const IDLE_TIMEOUT: Secs = 5.0;
-/// What a caller is told that comes when every connection is in use, in milliseconds.
+/// Cool-down in milliseconds for a caller that connects when every connection is in use.
 const COOL_DOWN_MS: u32 = 1000;
-/// Connections beyond the most that are let in to be refused in words.
+/// Connections accepted beyond the limit, so that their set-ups can be refused with a response.
 const MAX_REFUSED_CONNECTIONS: usize = 8;
-/// Until the next try where no connection could be accepted.
+/// Pause after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Between two looks at the connections.
+/// Interval in seconds between two checks of the connections.
 const CHECK_INTERVAL: Secs = 0.25;
-/// The longest description: what goes out must not be longer than a message may be.
+/// The longest session description accepted, in bytes: with the headers added, the message to the exchange must stay
+/// within the longest message allowed.
 const MAX_DESCRIPTION_BYTES: usize = 15 * 1024;
 
-/// What the front is told.
+/// Messages to the platform front.
 #[derive(Debug)]
 pub enum PlatformMessage {
     /// A caller has connected.
     Accepted(TcpStream),
-    /// A connection brings something.
+    /// An event of a connection, given by its id.
     Connection(u64, ConnectionEvent),
-    /// The core answers a caller.
+    /// A command of the call table to a caller.
     ToCaller(CallId, CallerCommand),
-    /// Tests pass from now on.
+    /// The proxy is ready: `OPTIONS` requests are answered with 200 from now on.
     Ready,
-    /// Time to look after the connections.
+    /// Check the connections.
     CheckConnections,
-    /// The program is to end: connections are closed once nothing is left on them.
+    /// The proxy shuts down: connections are closed once nothing is left on them.
     Drain(Shutdown),
-    /// No more connections are accepted.
+    /// The listener is closed, and every connection it accepted has been handed over.
     ListenerClosed,
-    /// A connection waits and can't be accepted.
+    /// A connection could not be accepted for want of a descriptor.
     AcceptFailed,
 }
 
+/// The caller's side of a call.
 struct CallerLeg {
+    /// Id of the connection on which the set-up was received.
     received_on: u64,
-    /// The headers of the set-up, to answer by.
+    /// Headers of the set-up, needed for the response; empty once it is answered.
     headers: Vec<(String, String)>,
     uri: String,
+    /// The set-up was answered with 200: the call is established.
     answered: bool,
 }
 
 /// A caller's connection.
 struct CallerConnection {
     handle: ConnectionHandle,
-    /// When it was opened, and when it last brought a request or took an answer.
     opened_at: Time,
+    /// When it last carried a valid request or a final answer.
     last_active: Time,
-    /// It has brought a set-up or a test that was taken.
+    /// It has carried a valid set-up or an `OPTIONS` request.
     useful: bool,
-    /// It has brought a set-up that was taken: releases may go there.
+    /// It has carried a valid set-up, so that releases of calls may be sent on it.
     carries_calls: bool,
-    /// Set-ups without a final answer.
+    /// Number of set-ups without a final answer.
     open_set_ups: usize,
-    /// Calls that stand and whose set-up it has brought: their releases are told here first.
+    /// Number of established calls that were set up on it. Their releases are sent here first.
     established_calls: usize,
-    /// It came when every other one was in use: its set-ups are refused.
+    /// It was accepted beyond the limit: its set-ups are refused.
     over_limit: bool,
 }
 
-/// The front's state.
+/// What the platform front needs from the rest of the proxy.
 pub struct PlatformFront {
-    /// Where new actors start.
+    /// Executor of new actors.
     pub tasks: Tasks,
-    /// The core.
+    /// Mailbox of the engine.
     pub engine: Sender<EngineMessage>,
-    /// The own mailbox.
+    /// Mailbox of this front.
     pub mailbox: Sender<PlatformMessage>,
-    /// Its clock.
+    /// The clock.
     pub clock: Clock,
-    /// The clock's actor.
+    /// Mailbox of the clock actor.
     pub timers: TimerSender,
-    /// What waits to be written on all connections.
+    /// The send queues of all connections.
     pub send_queues: Rc<SendQueues>,
-    /// The connections to exchanges, for the counters.
+    /// The permits for connections to exchanges, whose number goes into the metrics.
     pub permits: Rc<Permits>,
-    /// The most connections.
+    /// Limit of callers' connections.
     pub max_connections: usize,
-    /// The most bytes of releases that wait for a connection.
+    /// Limit in bytes of the releases that wait for a connection.
     pub max_release_bytes: usize,
-    /// Told once no more connections are to be accepted.
+    /// Tells the listener task to stop accepting.
     pub stop_accepting: Sender<()>,
 }
 
@@ -113,29 +117,29 @@
     next_connection_id: u64,
     caller_connections: BTreeMap<u64, CallerConnection>,
     calls: BTreeMap<CallId, CallerLeg>,
-    /// Releases that wait for a connection which has brought a call.
+    /// Releases that wait for a connection with `carries_calls`.
     undelivered_releases: WaitingReleases,
     shutdown: Option<Shutdown>,
-    /// Since when no caller is connected.
+    /// Since when no caller is connected; while one is, a recent time.
     no_callers_since: Time,
     accepting: Accepting,
 }
 
-/// Whether callers are accepted.
+/// State of the listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Accepting {
     Yes,
-    /// The listener was told to stop.
+    /// The listener was told to stop accepting.
     Stopping,
-    /// All that it had taken are here.
+    /// The listener is closed, and every connection it accepted has been handed over.
     Ended,
 }
 
-/// Accepts callers until it is told to stop. Whoever has connected by then is still handed on.
+/// Accepts callers until `stop` is signalled. Callers that have connected by then are still handed over.
 pub async fn accept(listener: TcpListener, stop: Receiver<()>, mailbox: Sender<PlatformMessage>) {
     loop {
         let stopped = async {
-            // Without a sender nobody will ever stop it.
+            // A closed channel means that no stop will come.
             if stop.recv().await.is_err() {
                 future::pending::<()>().await;
             }
@@ -146,7 +150,7 @@
             Some(Ok((stream, _))) => drop(post_throttled(&mailbox, PlatformMessage::Accepted(stream)).await),
             Some(Err(error)) => {
                 telemetry::accept_failed();
-                tracing::warn!(%error, "no connection could be accepted: an idle one makes room");
+                tracing::warn!(%error, "accepting a connection failed: closing an idle one");
                 post(&mailbox, PlatformMessage::AcceptFailed).await;
                 Timer::after(ACCEPT_RETRY_DELAY).await;
             }
@@ -161,7 +165,7 @@
 }
 
 impl PlatformFront {
-    /// Runs for ever.
+    /// Runs the platform front until its mailbox is closed.
     pub async fn run(self, messages: Receiver<PlatformMessage>) {
         let (caller_connections, calls) = (BTreeMap::new(), BTreeMap::new());
         let no_callers_since = self.clock.now();
@@ -181,14 +185,14 @@
         while let Ok(message) = messages.recv().await {
             match message {
                 PlatformMessage::Accepted(stream) => state.accepted(stream).await,
-                // Whatever a connection still brings after its close is not heard.
+                // Events that arrive after a connection was closed are ignored.
                 PlatformMessage::Connection(connection_id, _)
                     if !state.caller_connections.contains_key(&connection_id) => {}
                 PlatformMessage::Connection(connection_id, ConnectionEvent::Message(Ok(message))) => {
                     state.handle_message(connection_id, message).await
                 }
                 PlatformMessage::Connection(connection_id, ConnectionEvent::Message(Err(fault))) => {
-                    tracing::warn!(%fault, "message from a caller");
+                    tracing::warn!(%fault, "malformed message from a caller");
                     let has_call_id = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
                     if has_call_id && !fault.response {
                         state.write(connection_id, &Message::response(400, "Bad Request", &fault.headers));
@@ -207,7 +211,7 @@
                 PlatformMessage::ListenerClosed => {
                     tracing::debug!(
                         connections = state.caller_connections.len(),
-                        "no more callers are accepted"
+                        "listener closed: no more callers are accepted"
                     );
                     state.accepting = Accepting::Ended;
                     state.check_connections().await;
@@ -223,7 +227,7 @@
         let far_over_limit =
             self.caller_connections.len() >= self.front.max_connections + MAX_REFUSED_CONNECTIONS;
         if far_over_limit {
-            tracing::warn!(most = self.front.max_connections, "too many callers: connection closed");
+            tracing::warn!(most = self.front.max_connections, "too many callers: new connection closed");
             telemetry::caller_connection_closed("too many");
             return;
         }
@@ -254,23 +258,26 @@
         self.caller_connections.insert(connection_id, caller);
     }
 
-    /// Closes the idle connection that is needed the least; returns whether there was one.
+    /// Closes the idle connection that is least needed; returns whether there was one.
     async fn make_room(&mut self) -> bool {
-        // Whoever never asked for anything goes first, then whoever has been quiet the longest.
-        // Calls that stand may be told elsewhere, but mostly their callers wait for it here.
+        // Connections without a valid request go first, then those without established calls, each group from the
+        // longest idle on. A release may be sent on another connection, but callers mostly wait for it on this one.
         let idle = self.caller_connections.iter().filter(|(_, caller)| caller.open_set_ups == 0);
         let rank = |caller: &CallerConnection| (caller.useful, caller.established_calls > 0);
         let victim = idle.min_by(|(_, a), (_, b)| {
             rank(a).cmp(&rank(b)).then_with(|| a.last_active.0.total_cmp(&b.last_active.0))
         });
         let Some(victim) = victim.map(|(connection_id, _)| *connection_id) else { return false };
-        tracing::debug!(most = self.front.max_connections, "many callers: an idle connection is closed");
+        tracing::debug!(
+            most = self.front.max_connections,
+            "connection limit reached: idle connection of a caller closed"
+        );
         telemetry::caller_connection_closed("made room");
         self.close(victim).await;
         true
     }
 
-    /// Closes what has been of no use for too long, and asks to be woken for the next look.
+    /// Closes connections that are idle or have sent nothing valid for too long, and schedules the next check.
     async fn check_connections(&mut self) {
         let now = self.front.clock.now();
         let shutdown = self.shutdown;
@@ -292,7 +299,7 @@
             .filter_map(|(connection_id, caller)| Some((*connection_id, close_reason_of(caller)?)))
             .collect();
         for (connection_id, reason) in closable {
-            tracing::debug!(connection = connection_id, reason, "a caller's connection is closed");
+            tracing::debug!(connection = connection_id, reason, "connection of a caller closed");
             telemetry::caller_connection_closed(reason);
             self.close(connection_id).await;
         }
@@ -303,7 +310,7 @@
         }
         let next_check = (now + CHECK_INTERVAL, TimerKind::ConnectionCheck);
         if self.front.timers.send(next_check).await.is_err() {
-            tracing::error!("the clock is gone: idle connections stay");
+            tracing::error!("the clock actor has ended: connections of callers are no longer checked");
         }
     }
 
@@ -317,7 +324,8 @@
         );
     }
 
-    /// After SIGTERM: stops to accept once no caller has been connected for a while, and says so once none is left.
+    /// During a shutdown: stops accepting once no caller has been connected for a while, and tells the engine when no
+    /// connection is left.
     async fn advance_shutdown(&mut self, now: Time) {
         if !self.caller_connections.is_empty() {
             self.no_callers_since = now;
@@ -326,7 +334,7 @@
         match self.accepting {
             Accepting::Yes if shutdown.may_end(now, self.no_callers_since) => {
                 self.accepting = Accepting::Stopping;
-                // It ends with the first word of it.
+                // If a stop is already queued, the listener stops anyway.
                 let _ = self.front.stop_accepting.try_send(());
             }
             Accepting::Ended if self.caller_connections.is_empty() => {
@@ -346,12 +354,12 @@
 
     async fn connection_ended(&mut self, connection_id: u64, reason: CloseReason) {
         if !matches!(reason, CloseReason::Closed | CloseReason::Broken(_)) {
-            tracing::warn!(over = ?reason, "a caller's connection is closed");
+            tracing::warn!(over = ?reason, "connection of a caller failed");
         }
         self.close(connection_id).await;
     }
 
-    /// Closes a connection; the set-ups open on it are given up.
+    /// Closes a connection and abandons its pending set-ups.
     async fn close(&mut self, connection_id: u64) {
         self.caller_connections.remove(&connection_id);
         self.no_callers_since = self.front.clock.now();
@@ -363,7 +371,7 @@
         }
     }
 
-    /// Takes back the open set-up of a call, if it is this connection's.
+    /// Removes the pending set-up of a call, if it was received on this connection.
     fn withdraw_set_up(&mut self, connection_id: u64, id: &CallId) -> Option<CallerLeg> {
         self.calls.get(id).filter(|leg| leg.received_on == connection_id && !leg.answered)?;
         let leg = self.calls.remove(id)?;
@@ -371,7 +379,7 @@
         Some(leg)
     }
 
-    /// A call that stands is over: its connection may go.
+    /// Records on its connection that an established call has ended.
     fn established_call_ended(&mut self, id: &CallId) {
         let Some(connection_id) = self.calls.get(id).filter(|leg| leg.answered).map(|leg| leg.received_on)
         else {
@@ -383,7 +391,7 @@
         }
     }
 
-    /// A set-up on a connection has its final answer.
+    /// Records that a set-up on a connection has its final answer.
     fn set_up_answered(&mut self, connection_id: u64) {
         if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
             caller.open_set_ups = caller.open_set_ups.saturating_sub(1);
@@ -400,7 +408,7 @@
                     self.write(connection_id, &Message::response(487, "Request Terminated", &leg.headers));
                     self.send_event(CallEvent::CallerGaveUp(id)).await;
                 }
-                // It crossed the answer: the call stands and is not wanted.
+                // The CANCEL crossed the answer: the call is established, and the caller does not want it.
                 None if self.calls.get(&id).is_some_and(|leg| leg.received_on == connection_id) => {
                     self.send_event(CallEvent::CallerGaveUp(id)).await;
                 }
@@ -436,7 +444,7 @@
         self.write(connection_id, &Message::response(481, "Call Does Not Exist", &message.headers));
     }
 
-    /// A connection has brought something that is taken.
+    /// Records a valid request on a connection. The first set-up makes it eligible for waiting releases.
     fn record_valid_request(&mut self, connection_id: u64, is_call: bool) {
         let Some(caller) = self.caller_connections.get_mut(&connection_id) else { return };
         caller.useful = true;
@@ -452,13 +460,16 @@
 
     async fn invite(&mut self, connection_id: u64, id: CallId, message: Message) {
         match self.calls.get(&id) {
-            // Two set-ups of one id on one connection: neither can be told from the other.
+            // Two set-ups with the same id on one connection can't be told apart.
             Some(leg) if leg.received_on == connection_id => {
-                tracing::warn!(call = id.0, "two set-ups with one id: connection closed");
+                tracing::warn!(call = id.0, "two set-ups with the same id: connection closed");
                 return self.close(connection_id).await;
             }
             Some(_) => {
-                tracing::warn!(call = id.0, "set-up with the id of another caller's call");
+                tracing::warn!(
+                    call = id.0,
+                    "set-up rejected: its id belongs to a call of another connection"
+                );
                 self.write(connection_id, &Message::response(482, "Call Exists", &message.headers));
                 return;
             }
@@ -467,7 +478,7 @@
         let request = match parse_request(&id, &message) {
             Ok(request) => request,
             Err(what) => {
-                tracing::warn!(call = id.0, what, "set-up from a caller");
+                tracing::warn!(call = id.0, what, "invalid set-up rejected");
                 self.write(connection_id, &Message::response(400, "Bad Request", &message.headers));
                 return;
             }
@@ -498,14 +509,14 @@
         }
         let Some(leg) = self.calls.get_mut(&id) else { return };
         let respond = |status, reason| Message::response(status, reason, &leg.headers);
-        // What is turned down as it makes no sense proves nothing of its sender.
+        // A rejected set-up is invalid, and does not make its connection count as useful.
         let valid = !matches!(command, CallerCommand::Reject(_));
         let (message, ends_call) = match command {
             CallerCommand::Answer(description) => {
                 let mut message = respond(200, "OK");
                 message.body = description.to_vec();
                 leg.answered = true;
-                // Only a release is still to be said.
+                // Only a release can follow, which does not need them.
                 leg.headers = Vec::new();
                 (message, false)
             }
@@ -545,8 +556,8 @@
         self.write(received_on, &message);
     }
 
-    /// No connection owns a call that stands: a release takes any that is open and has brought calls, or the next
-    /// to bring one.
+    /// Sends a release to the caller. An established call is not bound to a connection: the release goes to the one of
+    /// its set-up, else to any open one that has carried calls, else to the next one that does.
     fn deliver_release(&mut self, received_on: u64, message: Message) {
         if self.write(received_on, &message) {
             return;
@@ -556,52 +567,57 @@
         open.sort_by(|(_, a), (_, b)| b.last_active.0.total_cmp(&a.last_active.0));
         let open: Vec<u64> = open.into_iter().map(|(connection_id, _)| *connection_id).collect();
         if !open.into_iter().any(|connection_id| self.write(connection_id, &message)) {
-            tracing::debug!(call = message.get("Call-ID"), "release waits for a connection from a caller");
+            tracing::debug!(
+                call = message.get("Call-ID"),
+                "no connection of a caller is open: release queued"
+            );
             let dropped = self.undelivered_releases.add(message);
             if dropped > 0 {
                 telemetry::releases_dropped(dropped);
-                tracing::warn!(dropped, "releases waited too long for a caller's connection");
+                tracing::warn!(dropped, "releases dropped: too many wait for a connection of a caller");
             }
         }
     }
 }
 
-/// Reads a set-up. What an exchange could not read must not get past here: it would close on it, whatever else is
-/// open there.
+/// Parses and validates a set-up. A set-up that an exchange could not read must not be forwarded: the exchange would
+/// close the connection, and with it end the other set-ups pending there.
 fn parse_request(id: &CallId, message: &Message) -> Result<Request, &'static str> {
     let uri = match &message.start {
         Start::Request { uri, .. } => uri.as_str(),
         Start::Response { .. } => "",
     };
     if id.0.len() != 16 || !id.0.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err("its id is not 16 hex digits");
+        return Err("call id is not 16 hex digits");
     }
-    let address = uri.strip_prefix("sip:").ok_or("its address is no sip address")?;
+    let address = uri.strip_prefix("sip:").ok_or("request address is not a sip: URI")?;
     let number = address.split_once('@').map_or(address, |(number, _)| number);
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.+*#".contains(&b);
     if number.is_empty() || number.len() > 128 || !number.bytes().all(is_allowed) {
-        return Err("the number called can't be read");
+        return Err("called number is invalid");
     }
     if message.body.len() > MAX_DESCRIPTION_BYTES {
-        return Err("its description is too long");
+        return Err("session description is too long");
     }
     let deadline_ms = message.get("X-Deadline").and_then(|v| v.trim().parse::<f64>().ok());
-    let deadline_ms = deadline_ms.filter(|ms| ms.is_finite() && *ms > 0.0).ok_or("it has no X-Deadline")?;
+    let deadline_ms = deadline_ms
+        .filter(|ms| ms.is_finite() && *ms > 0.0)
+        .ok_or("X-Deadline is missing or not a positive number")?;
     let attrs = message.get("X-Attrs").unwrap_or("");
     let attr = |names: [&str; 2]| {
         let mut pairs = attrs.split(';').filter_map(|pair| pair.split_once(':'));
         let value = pairs.find(|(name, _)| names.contains(&name.trim())).map(|(_, value)| value.trim());
-        value.map(|v| v.parse::<i64>().map_err(|_| "a figure of X-Attrs is no number")).transpose()
+        value.map(|v| v.parse::<i64>().map_err(|_| "a value in X-Attrs is not an integer")).transpose()
     };
     let flag = |names| match attr(names)? {
         None | Some(0) => Ok(false),
         Some(1) => Ok(true),
-        Some(_) => Err("a mark of X-Attrs is neither 0 nor 1"),
+        Some(_) => Err("a flag in X-Attrs is neither 0 nor 1"),
     };
-    let dest = attr(["dest", "far_end"])?.ok_or("it has no destination")?;
+    let dest = attr(["dest", "far_end"])?.ok_or("X-Attrs has no destination")?;
     let width = match attr(["width", "circuits"])? {
         None => 1,
-        Some(width) => u32::try_from(width).map_err(|_| "its width is no width")?,
+        Some(width) => u32::try_from(width).map_err(|_| "width in X-Attrs is out of range")?,
     };
     Ok(Request {
         id: id.clone(),
--- a/src/net/roster.rs
+++ b/src/net/roster.rs
@@ -1,4 +1,4 @@
-//! The actor of the list: holds a connection to the bulletin and passes its events on in order.
+//! The roster client: keeps a connection to discovery and forwards roster updates to the engine in order.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -19,49 +19,50 @@
 use crate::interface::*;
 use crate::telemetry;
 
-/// A line comes every second; without a whole one for this long the connection is of no use.
+/// Discovery sends a line every second. A connection without a complete line for this long is replaced.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
+/// Pause before a lost connection to discovery is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// The most bytes of one line.
+/// The longest line accepted, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// How often one line that can't be read is asked for again before it is passed over.
+/// An unreadable line is requested this many more times before it is skipped.
 const MAX_REREADS: u32 = 5;
 
-/// Where the list is told, and what of it is known without asking.
+/// Address of discovery, and the roster events known from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RosterSource {
-    /// The bulletin's address.
+    /// Address of discovery.
     pub addr: SocketAddr,
-    /// The events known.
+    /// Known events, oldest first.
     pub known_events: Vec<Value>,
-    /// The number of the last of them.
+    /// Number of the last known event.
     pub last_known_event: u64,
 }
 
-/// Why what was heard is no good: it has to be asked for again.
+/// Why a line was not accepted. The event has to be requested again.
 #[derive(Debug, Error)]
 pub enum RosterError {
-    /// The line is no JSON of the form wanted.
+    /// The line is not valid JSON, or not of the expected form.
     #[error("unreadable roster event: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Events are missing.
+    /// Events between the last accepted one and the announced one are missing.
     #[error(
         "roster events are missing: discovery is at event {announced}, the last one here is {last_event}"
     )]
     Gap {
-        /// The last number known.
+        /// Number of the last event accepted.
         last_event: u64,
-        /// The number said.
+        /// Number that discovery announced.
         announced: u64,
     },
 }
 
-/// One exchange of the list.
+/// One exchange of the roster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedExchange {
-    /// Its line for the module.
+    /// Its roster entry, as the decision module takes it.
     pub entry: RosterEntry,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
 }
 
@@ -94,18 +95,20 @@
     started_at_ms: f64,
 }
 
-/// The list as told so far: its last event, and the numbers given to the ids of exchanges that are not gone.
+/// Reads roster events in order. Remembers the last event, and the [`ExchangeId`] assigned to each instance id that is
+/// still on the roster.
 #[derive(Debug, Default)]
 pub struct RosterReader {
     last_event: u64,
     exchange_ids: BTreeMap<String, ExchangeId>,
     ids_assigned: u64,
-    /// Events up to here were asked for again: what is still missing then was never written.
+    /// Events up to this number were requested again. If some are still missing afterwards, discovery never wrote them.
     requested: u64,
 }
 
 impl RosterReader {
-    /// Reads one line. What is new comes with whether it is the whole list.
+    /// Reads one line: an event, or the number of the latest event. A new roster event is returned with its entries, and
+    /// with true if these are the whole roster.
     pub fn read_line(&mut self, line: &str) -> Result<Option<(bool, Vec<ListedExchange>)>, RosterError> {
         let value: Value = serde_json::from_str(line)?;
         match value.as_u64() {
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Checks that nothing up to a number is missing; the same number is complained of once.
+    /// Checks that no event up to a number is missing. A gap is reported only once for the same number.
     fn check_gap(&mut self, announced: u64) -> Result<(), RosterError> {
         if announced <= self.last_event.max(self.requested) {
             return Ok(());
@@ -123,24 +126,24 @@
         Err(RosterError::Gap { last_event: self.last_event, announced })
     }
 
-    /// Takes events that need no asking, and passes on those that are new.
+    /// Applies the events known from the configuration, and forwards the new ones to the engine.
     async fn apply_known(&mut self, events: Vec<Value>, last_event: u64, engine: &Sender<EngineMessage>) {
         self.requested = u64::MAX;
         for value in events {
-            // The first event ever is the whole list.
+            // The first event of all is the whole roster.
             let initial = self.last_event == 0;
             match self.apply_event(value) {
                 Ok(Some((full, exchanges))) => {
                     post(engine, EngineMessage::Roster { full: full || initial, listed: exchanges }).await;
                 }
                 Ok(None) => {}
-                Err(error) => tracing::error!(%error, "a known event can't be read"),
+                Err(error) => tracing::error!(%error, "unreadable roster event in the configuration"),
             }
         }
         (self.last_event, self.requested) = (self.last_event.max(last_event), 0);
     }
 
-    /// Reads one event.
+    /// Applies one event. Returns as [`RosterReader::read_line`] does.
     pub fn apply_event(&mut self, value: Value) -> Result<Option<(bool, Vec<ListedExchange>)>, RosterError> {
         let event = EventW::deserialize(value)?;
         if event.no <= self.last_event {
@@ -180,13 +183,14 @@
     }
 }
 
-/// Why a connection is followed no longer.
+/// Why the client stopped reading from a connection.
 enum Disconnect {
     Lost(io::Error),
     Moved(RosterSource),
 }
 
-/// Does something unless another source is named first. Nothing that is half handed on is ever cut short by that.
+/// Runs an I/O operation unless a new source arrives first. Only reads, writes and pauses run under it, so that
+/// forwarding an update to the engine is never interrupted.
 async fn unless_moved<T>(
     sources: &Receiver<RosterSource>,
     work: impl Future<Output = io::Result<T>>,
@@ -200,36 +204,41 @@
     future::or(next_source, async { work.await.map_err(Disconnect::Lost) }).await
 }
 
-/// Passes the known events on, then follows the bulletin for ever, wherever the latest source says it is.
+/// Runs the roster client: applies the known events of a source, then follows discovery at its address, until a new
+/// source replaces it.
 pub async fn run(mut source: RosterSource, sources: Receiver<RosterSource>, engine: Sender<EngineMessage>) {
     let mut reader = RosterReader::default();
-    // How often the line behind the last event could not be read.
+    // The last event accepted, and how often the line after it was unreadable.
     let mut unreadable = (0, 0);
     loop {
         reader.apply_known(std::mem::take(&mut source.known_events), source.last_known_event, &engine).await;
-        let next_source =
-            match follow_source(source.addr, &mut reader, &sources, &engine, unreadable.1 >= MAX_REREADS)
-                .await
-            {
-                Disconnect::Moved(new_source) => Some(new_source),
-                Disconnect::Lost(error) => {
-                    tracing::warn!(%error, last = reader.last_event, "bulletin lost: connecting again");
-                    telemetry::discovery_lost();
-                    let again =
-                        error.kind() == io::ErrorKind::InvalidData && reader.last_event == unreadable.0;
-                    unreadable = (reader.last_event, if again { unreadable.1 + 1 } else { 0 });
-                    let delay = async {
-                        Timer::after(RECONNECT_DELAY).await;
-                        Ok(())
-                    };
-                    match unless_moved(&sources, delay).await {
-                        Err(Disconnect::Moved(new_source)) => Some(new_source),
-                        _ => None,
-                    }
+        let next_source = match follow_source(
+            source.addr,
+            &mut reader,
+            &sources,
+            &engine,
+            unreadable.1 >= MAX_REREADS,
+        )
+        .await
+        {
+            Disconnect::Moved(new_source) => Some(new_source),
+            Disconnect::Lost(error) => {
+                tracing::warn!(%error, last = reader.last_event, "connection to discovery lost: reconnecting");
+                telemetry::discovery_lost();
+                let again = error.kind() == io::ErrorKind::InvalidData && reader.last_event == unreadable.0;
+                unreadable = (reader.last_event, if again { unreadable.1 + 1 } else { 0 });
+                let delay = async {
+                    Timer::after(RECONNECT_DELAY).await;
+                    Ok(())
+                };
+                match unless_moved(&sources, delay).await {
+                    Err(Disconnect::Moved(new_source)) => Some(new_source),
+                    _ => None,
                 }
-            };
+            }
+        };
         if let Some(new_source) = next_source {
-            tracing::info!(bulletin = %new_source.addr, last = reader.last_event, "following another bulletin");
+            tracing::info!(bulletin = %new_source.addr, last = reader.last_event, "discovery address changed");
             source = new_source;
         }
     }
@@ -254,7 +263,7 @@
     };
     let mut buffer = Vec::new();
     let mut bytes = vec![0; 8192];
-    // Bytes that end no line are as good as silence.
+    // Bytes that complete no line count as silence.
     let mut last_line = Instant::now();
     loop {
         let remaining = SILENCE_TIMEOUT.saturating_sub(last_line.elapsed());
@@ -273,7 +282,7 @@
                 }
                 Ok(None) => {}
                 Err(fault @ RosterError::Malformed(_)) if skip_unreadable => {
-                    tracing::error!(%fault, "a line of the bulletin is passed over");
+                    tracing::error!(%fault, "unreadable line from discovery skipped");
                 }
                 Err(fault) => return Disconnect::Lost(io::Error::new(io::ErrorKind::InvalidData, fault)),
             }
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -1,5 +1,5 @@
-//! The actor of the SIP front: one socket for datagrams, connections in and out, and the agent that is the
-//! same for both.
+//! The SIP front: a UDP socket, TCP connections in both directions, and the SIP agent that handles the messages of
+//! both transports.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,47 +22,47 @@
 use crate::sip::transaction::Failure;
 use crate::telemetry;
 
-/// Messages that may wait for a connection that is being made, and datagrams for the socket.
+/// Limit of the messages that wait for one connection to be opened, and of the datagrams that wait to be sent.
 const MAX_WAITING_MESSAGES: usize = 256;
-/// The longest time from the first byte of a message to its last.
+/// Time within which a message has to be complete, from its first byte.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// What the actor is told.
+/// Messages to the SIP front.
 #[derive(Debug)]
 pub enum SipFrontMessage {
-    /// The core answers a caller.
+    /// A command of the call table to a caller.
     ToCaller(CallId, CallerCommand),
-    /// The core tells an exchange.
+    /// A command of the call table to an exchange.
     ToExchange(ExchangeId, CallId, ExchangeCommand),
-    /// A datagram has come in.
+    /// A datagram was received.
     Datagram(SocketAddr, Vec<u8>),
-    /// Somebody has connected.
+    /// A connection was accepted.
     Accepted(TcpStream, SocketAddr),
-    /// A connection of ours has come up, or has not.
+    /// An attempt to connect has succeeded or failed.
     Connected(SocketAddr, std::io::Result<TcpStream>),
-    /// A connection, by its far end and its number, brings something.
+    /// An event of a connection, given by its remote address and its id.
     Connection(SocketAddr, u64, ConnectionEvent),
-    /// A timer has run down.
+    /// A timer of the SIP agent has expired.
     TimerExpired(Alarm),
 }
 
-/// What the actor needs.
+/// What the SIP front needs from the rest of the proxy.
 pub struct SipFront {
-    /// Where new actors start.
+    /// Executor of new actors.
     pub tasks: Tasks,
-    /// Its clock.
+    /// The clock.
     pub clock: Clock,
-    /// The core.
+    /// Mailbox of the engine.
     pub engine: Sender<EngineMessage>,
-    /// The own mailbox.
+    /// Mailbox of this front.
     pub mailbox: Sender<SipFrontMessage>,
-    /// The clock's actor.
+    /// Mailbox of the clock actor.
     pub timers: TimerSender,
-    /// What waits to be written on all connections.
+    /// The send queues of all connections.
     pub send_queues: Rc<SendQueues>,
-    /// How long a connection may take to come up.
+    /// Time limit in seconds for opening a connection.
     pub connect_timeout: Secs,
-    /// The most connections.
+    /// Limit of connections.
     pub max_connections: usize,
 }
 
@@ -73,12 +73,12 @@
     connections: BTreeMap<SocketAddr, (u64, ConnectionHandle)>,
     connecting: BTreeMap<SocketAddr, VecDeque<Message>>,
     next_connection_id: u64,
-    /// Datagrams that could not be read.
+    /// Number of malformed datagrams received.
     malformed: u64,
 }
 
 impl SipFront {
-    /// Runs for ever.
+    /// Runs the SIP front until its mailbox is closed.
     pub async fn run(
         self,
         setup: Setup,
@@ -112,7 +112,7 @@
 async fn send(udp: UdpSocket, datagram_queue: Receiver<(SocketAddr, Vec<u8>)>) {
     while let Ok((addr, bytes)) = datagram_queue.recv().await {
         if let Err(error) = udp.send_to(&bytes, addr).await {
-            tracing::debug!(%addr, %error, "a datagram could not be sent");
+            tracing::debug!(%addr, %error, "sending a datagram failed");
         }
     }
 }
@@ -122,8 +122,8 @@
     loop {
         match udp.recv_from(&mut bytes).await {
             Ok((n, addr)) => post(&mailbox, SipFrontMessage::Datagram(addr, bytes[..n].to_vec())).await,
-            // An earlier datagram met a closed port; its timers see to it.
-            Err(error) => tracing::debug!(%error, "no datagram could be received"),
+            // An earlier datagram met a closed port. Its transaction retransmits it or times out.
+            Err(error) => tracing::debug!(%error, "receiving a datagram failed"),
         }
     }
 }
@@ -133,7 +133,7 @@
         match tcp.accept().await {
             Ok((stream, addr)) => post(&mailbox, SipFrontMessage::Accepted(stream, addr)).await,
             Err(error) => {
-                tracing::error!(%error, "no connection could be accepted");
+                tracing::error!(%error, "accepting a connection failed");
                 Timer::after(Duration::from_millis(20)).await;
             }
         }
@@ -158,7 +158,7 @@
                 if self.connections.len() >= self.front.max_connections {
                     tracing::warn!(
                         most = self.front.max_connections,
-                        "too many SIP connections: one is closed"
+                        "too many SIP connections: new one closed"
                     );
                     return;
                 }
@@ -172,7 +172,7 @@
                 }
             }
             SipFrontMessage::Connected(addr, Err(error)) => {
-                tracing::info!(%addr, %error, "no SIP connection came up");
+                tracing::info!(%addr, %error, "opening a SIP connection failed");
                 self.connecting.remove(&addr);
                 self.agent.broken(now, tcp(addr), Failure::Unreached, outputs);
             }
@@ -186,7 +186,7 @@
 
     fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], outputs: &mut Vec<Output>) {
         if bytes.iter().all(|b| matches!(b, b'\r' | b'\n' | 0)) {
-            return; // Keeps a way through a NAT open.
+            return; // A keep-alive for a NAT.
         }
         let parsed = if bytes.len() > MOST { None } else { Some(Message::datagram(bytes)) };
         match parsed {
@@ -194,7 +194,7 @@
                 self.agent.receive(now, Hop { transport: Transport::Udp, addr }, message, outputs);
             }
             Some(Err(fault)) => self.count_malformed(addr, fault.what),
-            None => self.count_malformed(addr, "it is too long"),
+            None => self.count_malformed(addr, "datagram is too long"),
         }
     }
 
@@ -238,7 +238,7 @@
                 if has_call_id && !fault.response {
                     self.write(addr, &Message::response(400, "Bad Request", &fault.headers));
                 } else {
-                    // Nothing can be answered: the connection says so.
+                    // No response is possible, so the connection is closed.
                     self.connections.remove(&addr);
                     self.agent.broken(now, tcp(addr), Failure::Broken, outputs);
                 }
@@ -259,7 +259,7 @@
                 Output::Send(hop, alt, message) => self.send(hop, alt, message),
                 Output::Wake(at, alarm) => {
                     if self.front.timers.try_send((at, TimerKind::Sip(alarm))).is_err() {
-                        tracing::error!("the clock has ended: an alarm is lost");
+                        tracing::error!("the clock actor has ended: timer lost");
                     }
                 }
                 Output::Core(input) => post(&self.front.engine, EngineMessage::Input(input)).await,
@@ -270,9 +270,9 @@
     fn send(&mut self, hop: Hop, alt: Option<Hop>, message: Message) {
         if hop.transport == Transport::Udp {
             if self.datagrams.try_send((hop.addr, message.bytes())).is_err() {
-                // The transaction's timers send it again (RFC 3261, 17.1.1.2).
+                // The transaction retransmits it (RFC 3261, 17.1.1.2).
                 telemetry::datagram_dropped();
-                tracing::warn!(addr = %hop.addr, "datagrams wait too long: one is dropped");
+                tracing::warn!(addr = %hop.addr, "too many datagrams wait to be sent: one dropped");
             }
             return;
         }
@@ -280,7 +280,7 @@
         if self.write(hop.addr, &message) || alt.is_some_and(|alt| self.write(alt, &message)) {
             return;
         }
-        // A response goes where its Via says (RFC 3261, 18.2.2), a request where its address does.
+        // A response goes to the address in its Via (RFC 3261, 18.2.2), a request to the address of its URI.
         let addr = alt.filter(|_| message.status().is_some()).unwrap_or(hop.addr);
         let connecting = self.connecting.contains_key(&addr);
         let waiting = self.connecting.entry(addr).or_default();
