--- a/src/admin/http.rs
+++ b/src/admin/http.rs
@@ -11,7 +11,7 @@
 
 use super::{Store, StoreError};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::{with_timeout, Tasks};
+use crate::net::{with_timeout, Executor};
 
 const MOST_HEAD: usize = 8 * 1024;
 const MOST_BODY: usize = 64 * 1024;
@@ -284,7 +284,7 @@
 }
 
 /// Serves the API for ever.
-pub async fn run(tasks: Tasks, listener: TcpListener, store: Rc<Store>, tokens: Vec<Token>) {
+pub async fn run(tasks: Executor, listener: TcpListener, store: Rc<Store>, tokens: Vec<Token>) {
     let tokens: Rc<[Token]> = tokens.into();
     let open = Rc::new(());
     loop {
--- a/src/admin/netconf.rs
+++ b/src/admin/netconf.rs
@@ -17,7 +17,7 @@
 use super::xml::{self, Element};
 use super::{Store, StoreError};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::{with_timeout, Tasks};
+use crate::net::{with_timeout, Executor};
 
 /// The namespace of NETCONF.
 pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
@@ -336,7 +336,7 @@
 /// What the server needs.
 pub struct Server {
     /// Where sessions run.
-    pub tasks: Tasks,
+    pub tasks: Executor,
     /// The store.
     pub store: Rc<Store>,
     /// How TLS is spoken.
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -17,7 +17,7 @@
 use smol::net::TcpStream;
 use smol::{future, Async};
 
-use super::{post_throttled, with_timeout, Tasks};
+use super::{post_throttled, with_timeout, Executor};
 use crate::limits::memory::{slowest, Queue};
 use crate::sip::message::{Framer, Lost, Malformed, Message};
 use crate::telemetry;
@@ -137,7 +137,8 @@
     }
 }
 
-/// The owner's handle of a connection. When it is dropped, queued messages are still sent, then the connection closes.
+/// The owner's handle of a connection. When it is dropped, queued messages are still sent, then the connection
+/// closes.
 #[derive(Debug)]
 pub struct ConnectionHandle {
     send_queues: Rc<SendQueues>,
@@ -160,7 +161,7 @@
     /// Starts the reader and the writer of a connected stream. Events are wrapped with `wrap` and sent to `mailbox`.
     /// Each message has to be complete within `message_timeout` from its first byte.
     pub fn open<M: 'static>(
-        tasks: &Tasks,
+        tasks: &Executor,
         send_queues: &Rc<SendQueues>,
         stream: TcpStream,
         mailbox: Sender<M>,
@@ -189,8 +190,8 @@
         self.send_queue.carries_calls.set(true);
     }
 
-    /// Closes the write half after the queued messages. Messages from the peer are still received until the peer closes
-    /// its half or this handle is dropped.
+    /// Closes the write half after the queued messages. Messages from the peer are still received until the peer
+    /// closes its half or this handle is dropped.
     pub fn close_write(&self) {
         self.send_queue.half_closing.set(true);
         self.wake.close();
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -11,7 +11,7 @@
 use super::platform::PlatformMessage;
 use super::roster::ListedExchange;
 use super::sip::SipFrontMessage;
-use super::{post, Tasks};
+use super::{post, Executor};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
 use crate::calls::{CallEffect, CallEvent, ExchangeCommand, Front, Table};
 use crate::interface::*;
@@ -62,7 +62,7 @@
     /// The clock.
     pub clock: Clock,
     /// Executor of new actors.
-    pub tasks: Tasks,
+    pub tasks: Executor,
     /// The number of the own exchange.
     pub own_exchange: Option<ExchangeNumber>,
     /// The longest time in seconds that a caller of any class waits.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,6 @@
 //! The I/O of the proxy as a set of actors: the fronts, one actor per exchange, the roster client, the clock and the
-//! engine, which holds the call table. All actors run on one thread. Each owns its state and receives messages through
-//! its mailbox.
+//! engine, which holds the call table. All actors run on one thread. Each owns its state and receives messages
+//! through its mailbox.
 
 pub mod clock;
 pub mod conn;
@@ -34,7 +34,7 @@
 use permits::Permits;
 
 /// The single-threaded executor that runs all actors.
-pub type Tasks = Rc<LocalExecutor<'static>>;
+pub type Executor = Rc<LocalExecutor<'static>>;
 
 /// Mailbox length from which [`post_throttled`] makes the sender wait. Mailboxes are otherwise unbounded: they use
 /// memory only for the messages they hold, and no message that has to be delivered is lost to a full mailbox.
@@ -124,12 +124,12 @@
 
     /// Runs the proxy until a shutdown is requested and all calls have drained.
     pub fn run(self) -> io::Result<()> {
-        let tasks: Tasks = Rc::new(LocalExecutor::new());
+        let tasks: Executor = Rc::new(LocalExecutor::new());
         let inner = tasks.clone();
         smol::block_on(tasks.run(self.serve(inner)))
     }
 
-    async fn serve(self, tasks: Tasks) -> io::Result<()> {
+    async fn serve(self, tasks: Executor) -> io::Result<()> {
         let Node { config, platform, sip, http, netconf, stop, reload } = self;
         let clock = clock::Clock::system();
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -10,8 +10,8 @@
 use crate::sip::{cause, verdict};
 use crate::wire;
 
-/// Limit of the set-ups that wait for a connection. Waiting releases have no limit of their own: each belongs to a call
-/// whose record counts against the limit of the call table.
+/// Limit of the set-ups that wait for a connection. Waiting releases have no limit of their own: each belongs to a
+/// call whose record counts against the limit of the call table.
 const MAX_QUEUED_SET_UPS: usize = 512;
 /// A set-up overtaken by a later one counts as lost after this share of its time limit.
 const OVERTAKEN_SHARE: f64 = 0.2;
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// An attempt to connect failed. Without another connection, no queued set-up was sent. If the attempt was refused
-    /// and the last connection was lost before, the process is dead.
+    /// An attempt to connect failed. Without another connection, no queued set-up was sent. If the attempt was
+    /// refused and the last connection was lost before, the process is dead.
     pub(super) async fn connect_failed(&mut self, error: std::io::Error) {
         self.connecting -= 1;
         self.verify_next = false;
@@ -142,8 +142,8 @@
         self.verifying_connection = self.verifying_connection.filter(|verifying| *verifying != connection_id);
         telemetry::exchange_connection_lost();
         if ended_by_proxy {
-            // The exchange may have answered these set-ups, perhaps in the message that could not be read. A release makes
-            // sure that it keeps no call established.
+            // The exchange may have answered these set-ups, perhaps in the message that could not be read. A release
+            // makes sure that it keeps no call established.
             for (id, invite) in &lost.pending_set_ups {
                 let release = ExchangeCommand::Release { leg: Some(invite.leg) };
                 match self.connections.is_empty() {
@@ -164,8 +164,8 @@
         self.connect();
         self.fail_pending_set_ups(lost).await;
         if last && self.service_state == ServiceState::Draining {
-            // A draining exchange has stopped. A process that listens at its address later is another exchange, with its
-            // own roster entry.
+            // A draining exchange has stopped. A process that listens at its address later is another exchange, with
+            // its own roster entry.
             self.exchange_died().await;
         }
     }
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -18,15 +18,15 @@
 use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
 use super::engine::EngineMessage;
 use super::permits::{Permit, Permits};
-use super::{post, Tasks};
+use super::{post, Executor};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::BEST;
 use crate::membership::liveness::{Ending, Liveness, Timing};
 use crate::sip::message::Message;
 
-/// Most connections to one exchange. With several, the failure of one ends only the set-ups pending on it. An exchange
-/// sends its state on four connections at most.
+/// Most connections to one exchange. With several, the failure of one ends only the set-ups pending on it. An
+/// exchange sends its state on four connections at most.
 pub const MAX_CONNECTIONS: usize = BEST;
 
 /// Messages to the actor of an exchange.
@@ -56,7 +56,7 @@
 #[derive(Clone)]
 pub struct PeerContext {
     /// Executor of new actors.
-    pub tasks: Tasks,
+    pub tasks: Executor,
     /// Name of this proxy.
     pub name: Rc<str>,
     /// Time limit in seconds for opening a connection.
@@ -93,8 +93,8 @@
     width: u32,
     sent_at: Time,
     expires_at: Time,
-    /// It goes straight to its destination and so waits at this exchange alone, in the order of sending. An answer to a
-    /// later set-up shows that this one is lost.
+    /// It goes straight to its destination and so waits at this exchange alone, in the order of sending. An answer to
+    /// a later set-up shows that this one is lost.
     direct: bool,
 }
 
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -1,5 +1,5 @@
-//! Permits for connections to exchanges, shared by the actors of all exchanges. An actor holds a [`Permit`] for as long
-//! as the descriptor of its connection is in use. [`crate::limits::connections`] decides who gets one.
+//! Permits for connections to exchanges, shared by the actors of all exchanges. An actor holds a [`Permit`] for as
+//! long as the descriptor of its connection is in use. [`crate::limits::connections`] decides who gets one.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -13,7 +13,7 @@
 use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
 use super::engine::EngineMessage;
 use super::permits::Permits;
-use super::{post, post_throttled, Tasks};
+use super::{post, post_throttled, Executor};
 use crate::calls::{CallEvent, CallerCommand, Front, RejectReason, Request};
 use crate::interface::*;
 use crate::limits::memory::WaitingReleases;
@@ -90,7 +90,7 @@
 /// What the platform front needs from the rest of the proxy.
 pub struct PlatformFront {
     /// Executor of new actors.
-    pub tasks: Tasks,
+    pub tasks: Executor,
     /// Mailbox of the engine.
     pub engine: Sender<EngineMessage>,
     /// Mailbox of this front.
@@ -556,8 +556,8 @@
         self.write(received_on, &message);
     }
 
-    /// Sends a release to the caller. An established call is not bound to a connection: the release goes to the one of
-    /// its set-up, else to any open one that has carried calls, else to the next one that does.
+    /// Sends a release to the caller. An established call is not bound to a connection: the release goes to the one
+    /// of its set-up, else to any open one that has carried calls, else to the next one that does.
     fn deliver_release(&mut self, received_on: u64, message: Message) {
         if self.write(received_on, &message) {
             return;
--- a/src/net/roster.rs
+++ b/src/net/roster.rs
@@ -95,20 +95,21 @@
     started_at_ms: f64,
 }
 
-/// Reads roster events in order. Remembers the last event, and the [`ExchangeId`] assigned to each instance id that is
-/// still on the roster.
+/// Reads roster events in order. Remembers the last event, and the [`ExchangeId`] assigned to each instance id that
+/// is still on the roster.
 #[derive(Debug, Default)]
 pub struct RosterReader {
     last_event: u64,
     exchange_ids: BTreeMap<String, ExchangeId>,
     ids_assigned: u64,
-    /// Events up to this number were requested again. If some are still missing afterwards, discovery never wrote them.
+    /// Events up to this number were requested again. If some are still missing afterwards, discovery never wrote
+    /// them.
     requested: u64,
 }
 
 impl RosterReader {
-    /// Reads one line: an event, or the number of the latest event. A new roster event is returned with its entries, and
-    /// with true if these are the whole roster.
+    /// Reads one line: an event, or the number of the latest event. A new roster event is returned with its entries,
+    /// and with true if these are the whole roster.
     pub fn read_line(&mut self, line: &str) -> Result<Option<(bool, Vec<ListedExchange>)>, RosterError> {
         let value: Value = serde_json::from_str(line)?;
         match value.as_u64() {
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -13,7 +13,7 @@
 use super::clock::{Clock, TimerKind, TimerSender};
 use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
 use super::engine::EngineMessage;
-use super::{post, with_timeout, Tasks};
+use super::{post, with_timeout, Executor};
 use crate::calls::{CallerCommand, ExchangeCommand};
 use crate::interface::*;
 use crate::sip::agent::{Agent, Alarm, Output, Setup};
@@ -49,7 +49,7 @@
 /// What the SIP front needs from the rest of the proxy.
 pub struct SipFront {
     /// Executor of new actors.
-    pub tasks: Tasks,
+    pub tasks: Executor,
     /// The clock.
     pub clock: Clock,
     /// Mailbox of the engine.
