--- a/tests/platform_loopback.rs
+++ b/tests/platform_loopback.rs
@@ -14,7 +14,7 @@
 use mallowring::sip::header::Transport;
 use mallowring::sip::message::Message;
 use serde_json::{json, Value};
-use standin::Line;
+use standin::SipSocket;
 
 fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a socket")
@@ -25,111 +25,112 @@
 }
 
 /// The stand-in exchange's end of all connections that the proxy keeps to it.
-struct Peer {
-    lines: Vec<TcpStream>,
-    heard: Receiver<(usize, Option<Message>)>,
+struct StandInExchange {
+    streams: Vec<TcpStream>,
+    received: Receiver<(usize, Option<Message>)>,
     /// Where it heard last, and so where it speaks.
-    last: usize,
+    last_connection: usize,
 }
 
 /// The connections of the proxy's to a stand-in.
-fn taken(listener: &TcpListener) -> Peer {
-    let (tell, heard) = channel();
-    let take = |ix| {
+fn accept_connections(listener: &TcpListener) -> StandInExchange {
+    let (sender, received) = channel();
+    let accept = |ix| {
         let stream = listener.accept().expect("the proxy connects").0;
-        let (mut line, tell) = (Line::of(stream.try_clone().expect("a handle")), tell.clone());
+        let (mut socket, sender) =
+            (SipSocket::from_stream(stream.try_clone().expect("a handle")), sender.clone());
         thread::spawn(move || loop {
-            let message = line.receive();
-            let over = message.is_none();
-            if tell.send((ix, message)).is_err() || over {
+            let message = socket.receive();
+            let ended = message.is_none();
+            if sender.send((ix, message)).is_err() || ended {
                 return;
             }
         });
         stream
     };
-    Peer { lines: (0..MAX_CONNECTIONS).map(take).collect(), heard, last: 0 }
+    StandInExchange { streams: (0..MAX_CONNECTIONS).map(accept).collect(), received, last_connection: 0 }
 }
 
-impl Peer {
-    fn say(&mut self, message: &Message) {
-        self.lines[self.last].write_all(&message.bytes()).expect("it is sent");
+impl StandInExchange {
+    fn send_message(&mut self, message: &Message) {
+        self.streams[self.last_connection].write_all(&message.bytes()).expect("it is sent");
     }
 
     fn receive(&mut self) -> Option<Message> {
-        let (ix, message) = self.heard.recv().expect("a message or an end");
-        self.last = ix;
+        let (ix, message) = self.received.recv().expect("a message or an end");
+        self.last_connection = ix;
         message
     }
 
-    fn hear(&mut self, what: &str) -> Message {
+    fn expect_message(&mut self, expected: &str) -> Message {
         let message = self.receive().expect("a message");
-        assert_eq!(said(&message), what, "{message:?}");
+        assert_eq!(method_or_status(&message), expected, "{message:?}");
         message
     }
 }
 
-impl Drop for Peer {
+impl Drop for StandInExchange {
     fn drop(&mut self) {
-        for line in &self.lines {
-            let _ = line.shutdown(std::net::Shutdown::Both);
+        for stream in &self.streams {
+            let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 }
 
-fn said(message: &Message) -> String {
+fn method_or_status(message: &Message) -> String {
     message.method().map_or_else(|| message.status().unwrap_or(0).to_string(), str::to_owned)
 }
 
-struct Bench {
+struct Fixture {
     proxy: SocketAddr,
-    stop: smol::channel::Sender<()>,
+    shutdown: smol::channel::Sender<()>,
     thread: Option<JoinHandle<std::io::Result<()>>>,
-    exchange: TcpListener,
-    bulletin: TcpListener,
+    exchange_listener: TcpListener,
+    discovery: TcpListener,
     reload: smol::channel::Sender<()>,
     config: Value,
     path: std::path::PathBuf,
 }
 
-impl Drop for Bench {
+impl Drop for Fixture {
     fn drop(&mut self) {
         std::fs::remove_file(&self.path).expect("the file is there");
     }
 }
 
-fn event(no: u64, reset: bool, lifecycle: &str, exchange: SocketAddr) -> Value {
-    let line = |id: &str, cell: u32, state: &str| {
+fn roster_event(no: u64, reset: bool, lifecycle: &str, exchange: SocketAddr) -> Value {
+    let instance = |id: &str, cell: u32, state: &str| {
         json!({"instanceId": id, "hostPort": exchange.to_string(), "zone": "z", "machineType": "m", "cell": cell,
             "lifecycle": state, "weight": 1, "startedAtMs": 0})
     };
-    let mut instances = vec![line("s-far", 1, lifecycle)];
+    let mut instances = vec![instance("s-far", 1, lifecycle)];
     if reset {
-        instances.push(line("s-own", 0, "ready"));
+        instances.push(instance("s-own", 0, "ready"));
     }
     json!({"no": no, "roster": {"generation": no, "reset": reset, "instances": instances}})
 }
 
-impl Bench {
+impl Fixture {
     /// A proxy of exchange 0 that knows exchange 1.
-    fn start() -> Bench {
-        let (exchange, bulletin) = (listener(), listener());
+    fn start() -> Fixture {
+        let (exchange_listener, discovery) = (listener(), listener());
         let class = json!({"name": "voice", "target": 2.0, "give_up": 9.0, "worth": 1.0});
         let urgent = json!({"name": "alarm", "target": 2.0, "give_up": 9.0, "worth": 8.0});
-        let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "bulletin": addr_of(&bulletin),
-            "known": {"no": 3, "items": [event(3, true, "ready", addr_of(&exchange))]},
+        let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "bulletin": addr_of(&discovery),
+            "known": {"no": 3, "items": [roster_event(3, true, "ready", addr_of(&exchange_listener))]},
             "settings": {"classes": [class, urgent], "n_instances": 2, "tenants": [{"name": "acme"}],
                 "extra": {"release": 0.3, "self_no": 0, "class_width": [1, 1]},
                 "limits": {"max_attempts": 4, "retry_after": true, "max_retry_after": 2.0},
                 "rules": {"drain_grace": 0.5}, "telemetry": {"how": "piggyback"}}});
-        let name = format!("mallowring-{}-{}.json", std::process::id(), addr_of(&bulletin).port());
+        let name = format!("mallowring-{}-{}.json", std::process::id(), addr_of(&discovery).port());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, config.to_string()).expect("a file");
         let env = BTreeMap::from([("NODE_CONFIG".to_owned(), path.display().to_string())]);
         let node = Node::bind(Config::read(&env).expect("fine")).expect("sockets");
-        let (proxy, stop, reload) =
+        let (proxy, shutdown, reload) =
             (node.platform_addr().expect("it is on"), node.shutdown_sender(), node.reload_sender());
         let thread = Some(thread::spawn(|| node.run()));
-        Bench { proxy, stop, thread, exchange, bulletin, reload, config, path }
+        Fixture { proxy, shutdown, thread, exchange_listener, discovery, reload, config, path }
     }
 
     /// Puts a file in the place of the configuration's and has it read.
@@ -142,33 +143,33 @@
     }
 
     /// The connection to the exchange, once the state of its group is told.
-    fn peer(&self) -> Peer {
-        let mut peer = taken(&self.exchange);
-        peer.say(&notify());
+    fn ready_exchange(&self) -> StandInExchange {
+        let mut exchange = accept_connections(&self.exchange_listener);
+        exchange.send_message(&state_notification());
         let mut caller = self.caller();
-        while caller.test() != Some(200) {
+        while caller.send_options() != Some(200) {
             thread::yield_now();
         }
-        peer
+        exchange
     }
 
-    fn caller(&self) -> Line {
-        Line::connect(self.proxy, Transport::Tcp)
+    fn caller(&self) -> SipSocket {
+        SipSocket::connect(self.proxy, Transport::Tcp)
     }
 
     /// Tells the program to end and waits for it.
-    fn end(mut self) {
-        self.stop.try_send(()).expect("it runs");
-        self.drained();
+    fn shut_down(mut self) {
+        self.shutdown.try_send(()).expect("it runs");
+        self.wait_for_exit();
     }
 
-    fn drained(&mut self) {
+    fn wait_for_exit(&mut self) {
         let thread = self.thread.take().expect("it was started");
         thread.join().expect("no panic").expect("it drained");
     }
 }
 
-fn notify() -> Message {
+fn state_notification() -> Message {
     Message::request("NOTIFY", "sip:proxy@net")
         .with("Call-ID", "state")
         .with("CSeq", "1 NOTIFY")
@@ -199,227 +200,227 @@
     message.with("Reason", format!("Q.850;cause={cause}"))
 }
 
-trait Speaks {
-    fn say(&mut self, message: &Message);
-    fn hear(&mut self, what: &str) -> Message;
-    fn test(&mut self) -> Option<u16>;
-    fn stand(&mut self, peer: &mut Peer, id: &str);
+trait CallerExt {
+    fn send_message(&mut self, message: &Message);
+    fn expect_message(&mut self, expected: &str) -> Message;
+    fn send_options(&mut self) -> Option<u16>;
+    fn set_up_call(&mut self, exchange: &mut StandInExchange, id: &str);
 }
 
-impl Speaks for Line {
-    fn say(&mut self, message: &Message) {
+impl CallerExt for SipSocket {
+    fn send_message(&mut self, message: &Message) {
         assert!(self.send(&message.bytes()), "it could not be sent");
     }
 
     /// The next message, which is a request of this method or a response of this code.
-    fn hear(&mut self, what: &str) -> Message {
+    fn expect_message(&mut self, expected: &str) -> Message {
         let message = self.receive().expect("a message");
-        assert_eq!(said(&message), what, "{message:?}");
+        assert_eq!(method_or_status(&message), expected, "{message:?}");
         message
     }
 
-    fn test(&mut self) -> Option<u16> {
+    fn send_options(&mut self) -> Option<u16> {
         let options =
             Message::request("OPTIONS", "sip:ping@net").with("Call-ID", "t").with("CSeq", "1 OPTIONS");
-        self.say(&options);
+        self.send_message(&options);
         self.receive().expect("an answer").status()
     }
 
     /// Sets a call of this caller's up at an exchange.
-    fn stand(&mut self, peer: &mut Peer, id: &str) {
-        self.say(&invite(id));
-        let mut success = Message::response(200, "OK", &peer.hear("INVITE").headers);
+    fn set_up_call(&mut self, exchange: &mut StandInExchange, id: &str) {
+        self.send_message(&invite(id));
+        let mut success = Message::response(200, "OK", &exchange.expect_message("INVITE").headers);
         success.body = b"answer\0\xff\r\n\r\n".to_vec();
-        peer.say(&success);
-        peer.hear("ACK");
-        assert_eq!(self.hear("200").body, success.body, "byte for byte");
+        exchange.send_message(&success);
+        exchange.expect_message("ACK");
+        assert_eq!(self.expect_message("200").body, success.body, "byte for byte");
     }
 }
 
 #[test]
-fn a_test_passes_only_once_the_states_of_all_groups_are_in() {
-    let bench = Bench::start();
-    let mut peer = taken(&bench.exchange);
-    assert_eq!(bench.caller().test(), Some(503));
-    peer.say(&notify());
-    let mut caller = bench.caller();
-    while caller.test() != Some(200) {
+fn options_succeed_only_after_all_trunk_group_states_arrived() {
+    let fixture = Fixture::start();
+    let mut exchange = accept_connections(&fixture.exchange_listener);
+    assert_eq!(fixture.caller().send_options(), Some(503));
+    exchange.send_message(&state_notification());
+    let mut caller = fixture.caller();
+    while caller.send_options() != Some(200) {
         thread::yield_now();
     }
-    bench.end();
+    fixture.shut_down();
 }
 
 #[test]
-fn a_call_goes_through_unchanged_and_its_release_comes_back_once() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    caller.say(&invite("a"));
-    let seen = peer.hear("INVITE");
+fn a_set_up_is_forwarded_unchanged_and_its_refusal_carries_a_cool_down() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.send_message(&invite("a"));
+    let seen = exchange.expect_message("INVITE");
     assert_eq!((seen.get("Call-ID"), seen.get("X-Tier")), (Some(id_of("a").as_str()), Some("alarm")));
     assert_eq!((seen.start.clone(), seen.body.as_slice()), (invite("").start, &b"offer\r\n\0\xff"[..]));
     let left: u32 = seen.get("X-Deadline").and_then(|v| v.parse().ok()).expect("a number");
     assert!(left <= 2000, "not longer than the aim: {left}");
-    peer.say(&Message::response(503, "Full", &seen.headers).with("X-Outcome", "overload"));
-    peer.hear("ACK");
-    let refusal = caller.hear("503");
+    exchange.send_message(&Message::response(503, "Full", &seen.headers).with("X-Outcome", "overload"));
+    exchange.expect_message("ACK");
+    let refusal = caller.expect_message("503");
     assert!(refusal.get("X-Cooldown").and_then(|v| v.parse::<u32>().ok()).is_some_and(|ms| ms > 0));
     drop(caller);
-    bench.end();
+    fixture.shut_down();
 }
 
 /// Guards against an attempt matched by the number in CSeq: exchanges do not repeat ours, so that the answer to
 /// every second attempt was released and its call timed out (19 of 19 on the calm day of seed 3).
 #[test]
-fn a_second_attempt_is_matched_by_its_call_alone() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    caller.say(&invite("a"));
+fn a_second_attempt_is_matched_by_call_id_alone() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.send_message(&invite("a"));
     for status in [504, 200] {
-        let mut headers = peer.hear("INVITE").headers;
+        let mut headers = exchange.expect_message("INVITE").headers;
         headers.retain(|(name, _)| name != "CSeq");
         headers.push(("CSeq".into(), "1 INVITE".into()));
-        peer.say(&Message::response(status, "R", &headers));
-        peer.hear("ACK");
+        exchange.send_message(&Message::response(status, "R", &headers));
+        exchange.expect_message("ACK");
     }
-    caller.hear("200");
-    peer.say(&bye("a", 16));
-    peer.hear("200");
-    caller.hear("BYE");
-    bench.end();
+    caller.expect_message("200");
+    exchange.send_message(&bye("a", 16));
+    exchange.expect_message("200");
+    caller.expect_message("BYE");
+    fixture.shut_down();
 }
 
 /// Guards rule one: a release may come on any connection, and twice; the caller may have changed its own.
 #[test]
-fn a_release_finds_its_caller_on_whatever_connection_is_open() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    caller.stand(&mut peer, "a");
+fn a_release_reaches_its_caller_on_any_open_connection() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.set_up_call(&mut exchange, "a");
     drop(caller);
-    peer.say(&bye("a", 16));
-    peer.hear("200");
-    peer.say(&bye("a", 16));
-    peer.hear("200");
+    exchange.send_message(&bye("a", 16));
+    exchange.expect_message("200");
+    exchange.send_message(&bye("a", 16));
+    exchange.expect_message("200");
     // No connection was open: the next one to bring a call gets it, once, and not one that says nothing.
-    let _silent = bench.caller();
-    let mut caller = bench.caller();
-    caller.say(&invite("c"));
-    let seen = peer.hear("INVITE");
-    peer.say(&Message::response(200, "OK", &seen.headers));
-    peer.hear("ACK");
-    let release = caller.hear("BYE");
+    let _silent = fixture.caller();
+    let mut caller = fixture.caller();
+    caller.send_message(&invite("c"));
+    let seen = exchange.expect_message("INVITE");
+    exchange.send_message(&Message::response(200, "OK", &seen.headers));
+    exchange.expect_message("ACK");
+    let release = caller.expect_message("BYE");
     assert_eq!(
         (release.get("Call-ID"), release.get("Reason")),
         (Some(id_of("a").as_str()), Some("Q.850;cause=16"))
     );
-    caller.hear("200");
-    assert_eq!(caller.test(), Some(200));
+    caller.expect_message("200");
+    assert_eq!(caller.send_options(), Some(200));
     // The caller's own release, on another connection than its set-up's.
-    caller.stand(&mut peer, "b");
-    let mut other = bench.caller();
-    other.say(&bye("b", 16));
-    other.hear("200");
-    assert_eq!(peer.hear("BYE").get("Call-ID"), Some(id_of("b").as_str()));
-    caller.say(&bye("c", 16));
-    caller.hear("200");
-    bench.end();
+    caller.set_up_call(&mut exchange, "b");
+    let mut other = fixture.caller();
+    other.send_message(&bye("b", 16));
+    other.expect_message("200");
+    assert_eq!(exchange.expect_message("BYE").get("Call-ID"), Some(id_of("b").as_str()));
+    caller.send_message(&bye("c", 16));
+    caller.expect_message("200");
+    fixture.shut_down();
 }
 
 /// Guards rule one when a process dies: its connection is reset and no new one comes up, so its standing calls
 /// are released to their callers as cut, and its set-ups end.
 #[test]
 fn the_calls_of_a_dead_exchange_are_released_to_their_callers() {
-    let mut bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    caller.stand(&mut peer, "stands");
-    caller.say(&invite("out"));
-    peer.hear("INVITE");
-    let nowhere = std::mem::replace(&mut bench.exchange, listener());
-    drop((nowhere, peer));
+    let mut fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.set_up_call(&mut exchange, "stands");
+    caller.send_message(&invite("out"));
+    exchange.expect_message("INVITE");
+    let old_listener = std::mem::replace(&mut fixture.exchange_listener, listener());
+    drop((old_listener, exchange));
     let mut ends = [caller.receive().expect("an end"), caller.receive().expect("an end")];
     ends.sort_by_key(|m| m.status());
     assert_eq!((ends[0].method(), ends[0].get("Reason")), (Some("BYE"), Some("Q.850;cause=41")));
     assert_eq!((ends[1].status(), ends[1].get("Call-ID")), (Some(503), Some(id_of("out").as_str())));
-    bench.end();
+    fixture.shut_down();
 }
 
 /// Guards against a machine that vanishes: it leaves its connection open and silent, and only the list tells that
 /// its process started anew. What stood before is cut, and a new connection is made.
 #[test]
-fn a_restart_that_only_the_list_tells_cuts_what_stood_before() {
-    let bench = Bench::start();
-    let mut silent = bench.peer();
-    let mut caller = bench.caller();
-    caller.stand(&mut silent, "old");
-    let mut started = event(4, false, "ready", addr_of(&bench.exchange));
+fn a_restart_reported_only_by_the_roster_releases_earlier_calls() {
+    let fixture = Fixture::start();
+    let mut silent = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.set_up_call(&mut silent, "old");
+    let mut started = roster_event(4, false, "ready", addr_of(&fixture.exchange_listener));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
     // The list counts whole milliseconds: the next one is surely behind the set-up.
     started["roster"]["instances"][0]["startedAtMs"] = json!(now as u64 + 1);
-    let mut stream = bench.bulletin.accept().expect("the proxy connects").0;
+    let mut stream = fixture.discovery.accept().expect("the proxy connects").0;
     writeln!(stream, "{started}").expect("it is sent");
-    let release = caller.hear("BYE");
+    let release = caller.expect_message("BYE");
     assert_eq!(
         (release.get("Call-ID"), release.get("Reason")),
         (Some(id_of("old").as_str()), Some("Q.850;cause=41"))
     );
-    let mut fresh = taken(&bench.exchange);
-    fresh.say(&notify());
-    fresh.say(&bye("old", 41));
-    fresh.hear("200");
+    let mut new_connections = accept_connections(&fixture.exchange_listener);
+    new_connections.send_message(&state_notification());
+    new_connections.send_message(&bye("old", 41));
+    new_connections.expect_message("200");
     assert!(silent.receive().is_none(), "the old connection is closed");
-    bench.end();
+    fixture.shut_down();
 }
 
 /// Guards rule one at the other end: what a caller no longer wants is called off, and an answer that crosses is
 /// released, not left standing.
 #[test]
-fn a_caller_that_leaves_calls_its_set_ups_off() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
+fn set_ups_of_a_caller_that_leaves_are_cancelled() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
     for id in ["a", "b"] {
-        let mut caller = bench.caller();
-        caller.say(&invite(id));
-        let seen = peer.hear("INVITE");
+        let mut caller = fixture.caller();
+        caller.send_message(&invite(id));
+        let seen = exchange.expect_message("INVITE");
         match id {
             "a" => drop(caller),
-            _ => caller.say(
+            _ => caller.send_message(
                 &Message::request("CANCEL", "sip:x@net").with("Call-ID", id_of(id)).with("CSeq", "1 CANCEL"),
             ),
         }
-        assert_eq!(peer.hear("CANCEL").get("Call-ID"), Some(id_of(id).as_str()));
-        peer.say(&Message::response(200, "OK", &seen.headers));
-        peer.hear("ACK");
-        assert_eq!(peer.hear("BYE").get("Call-ID"), Some(id_of(id).as_str()));
+        assert_eq!(exchange.expect_message("CANCEL").get("Call-ID"), Some(id_of(id).as_str()));
+        exchange.send_message(&Message::response(200, "OK", &seen.headers));
+        exchange.expect_message("ACK");
+        assert_eq!(exchange.expect_message("BYE").get("Call-ID"), Some(id_of(id).as_str()));
     }
-    bench.end();
+    fixture.shut_down();
 }
 
 /// Sets calls up and ends them until one is refused; an exchange answers each that goes out.
-fn until_refused(caller: &mut Line, mut peer: Peer) {
+fn call_until_refused(caller: &mut SipSocket, mut exchange: StandInExchange) {
     thread::spawn(move || {
-        while let Some(message) = peer.receive() {
+        while let Some(message) = exchange.receive() {
             if message.method() == Some("INVITE") {
-                peer.say(&Message::response(200, "OK", &message.headers));
+                exchange.send_message(&Message::response(200, "OK", &message.headers));
             }
         }
     });
     for n in 0.. {
         let id = format!("call-{n}");
-        caller.say(&invite(&id));
+        caller.send_message(&invite(&id));
         if caller.receive().expect("an answer").status() == Some(503) {
             break;
         }
-        caller.say(&bye(&id, 16));
-        caller.hear("200");
+        caller.send_message(&bye(&id, 16));
+        caller.expect_message("200");
     }
 }
 
 /// What the proxy asks a bulletin.
-fn asked(bulletin: &TcpListener) -> (TcpStream, String) {
-    let stream = bulletin.accept().expect("the proxy connects").0;
+fn read_resume_request(discovery: &TcpListener) -> (TcpStream, String) {
+    let stream = discovery.accept().expect("the proxy connects").0;
     let mut line = String::new();
     BufReader::new(stream.try_clone().expect("a handle")).read_line(&mut line).expect("a line");
     (stream, line)
@@ -428,102 +429,103 @@
 /// Guards against SIGHUP: it ended the program, and on the days with new configurations that was a crash. A bad
 /// file changes nothing; a good one names the bulletin to follow from the last event on, and calls go on.
 #[test]
-fn a_configuration_read_again_moves_the_bulletin_and_keeps_the_calls() {
-    let mut bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    let (mut old, _) = asked(&bench.bulletin);
-    caller.stand(&mut peer, "a");
-    bench.reload("{");
-    assert_eq!(caller.test(), Some(200));
-    writeln!(old, "{}", event(4, false, "ready", addr_of(&bench.exchange))).expect("it is still followed");
-    let bulletin = listener();
-    bench.config["bulletin"] = json!(addr_of(&bulletin).to_string());
-    bench.config["known"] = json!({"no": 4, "items": []});
-    bench.reload(&bench.config.to_string());
-    let (_new, line) = asked(&bulletin);
+fn reloading_the_configuration_changes_discovery_and_keeps_calls() {
+    let mut fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    let (mut old, _) = read_resume_request(&fixture.discovery);
+    caller.set_up_call(&mut exchange, "a");
+    fixture.reload("{");
+    assert_eq!(caller.send_options(), Some(200));
+    writeln!(old, "{}", roster_event(4, false, "ready", addr_of(&fixture.exchange_listener)))
+        .expect("it is still followed");
+    let discovery = listener();
+    fixture.config["bulletin"] = json!(addr_of(&discovery).to_string());
+    fixture.config["known"] = json!({"no": 4, "items": []});
+    fixture.reload(&fixture.config.to_string());
+    let (_new, line) = read_resume_request(&discovery);
     assert_eq!(line, "after 4\n");
-    peer.say(&bye("a", 16));
-    peer.hear("200");
-    caller.hear("BYE");
-    bench.end();
+    exchange.send_message(&bye("a", 16));
+    exchange.expect_message("200");
+    caller.expect_message("BYE");
+    fixture.shut_down();
 }
 
 /// Guards against spoilt answers: one that could not be read was dropped and its connection kept, though nothing that
 /// follows on it can be trusted; then everything there timed out. It ends the set-ups of its own connection alone.
 #[test]
-fn a_spoilt_answer_ends_its_own_connection_and_no_other() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    let mut out = Vec::new();
+fn a_malformed_answer_ends_only_its_own_connection() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    let mut sent = Vec::new();
     for name in ["a", "b"] {
-        caller.say(&invite(name));
-        out.push((peer.hear("INVITE"), peer.last));
+        caller.send_message(&invite(name));
+        sent.push((exchange.expect_message("INVITE"), exchange.last_connection));
     }
-    assert_ne!(out[0].1, out[1].1, "set-ups are spread");
-    peer.last = out[0].1;
-    peer.lines[peer.last]
+    assert_ne!(sent[0].1, sent[1].1, "set-ups are spread");
+    exchange.last_connection = sent[0].1;
+    exchange.streams[exchange.last_connection]
         .write_all(b"SIP/2.0 2x0 OK\r\nCall-ID: ?\r\nContent-Length: 0\r\n\r\n")
         .expect("sent");
     // It is closed, and what may have run there is released elsewhere.
-    let seen = [peer.receive(), peer.receive()];
+    let seen = [exchange.receive(), exchange.receive()];
     assert!(seen.iter().any(Option::is_none), "{seen:?}");
     let release = seen.iter().flatten().next().expect("a release");
     assert_eq!((release.method(), release.get("Call-ID")), (Some("BYE"), Some(id_of("a").as_str())));
     // The other is answered on its own connection; a second copy and an unknown id mean nothing.
-    peer.last = out[1].1;
-    let success = Message::response(200, "OK", &out[1].0.headers);
-    peer.say(&Message::response(200, "OK", &invite("stranger").headers));
-    peer.say(&success);
-    peer.say(&success);
-    assert_eq!(peer.hear("ACK").get("Call-ID"), Some(id_of("b").as_str()));
-    assert_eq!(caller.hear("200").get("Call-ID"), Some(id_of("b").as_str()));
+    exchange.last_connection = sent[1].1;
+    let success = Message::response(200, "OK", &sent[1].0.headers);
+    exchange.send_message(&Message::response(200, "OK", &invite("stranger").headers));
+    exchange.send_message(&success);
+    exchange.send_message(&success);
+    assert_eq!(exchange.expect_message("ACK").get("Call-ID"), Some(id_of("b").as_str()));
+    assert_eq!(caller.expect_message("200").get("Call-ID"), Some(id_of("b").as_str()));
     // The first is tried again after the pause.
-    let again = peer.hear("INVITE");
+    let again = exchange.expect_message("INVITE");
     assert_eq!(again.get("Call-ID"), Some(id_of("a").as_str()));
-    peer.say(&Message::response(200, "OK", &again.headers));
-    peer.hear("ACK");
-    caller.hear("200");
+    exchange.send_message(&Message::response(200, "OK", &again.headers));
+    exchange.expect_message("ACK");
+    caller.expect_message("200");
     for name in ["a", "b"] {
-        peer.say(&bye(name, 16));
-        peer.hear("200");
-        caller.hear("BYE");
+        exchange.send_message(&bye(name, 16));
+        exchange.expect_message("200");
+        caller.expect_message("BYE");
     }
-    bench.end();
+    fixture.shut_down();
 }
 
 /// Guards against a connection that stays open and brings nothing more: set-ups went on to it, each ran its time out,
 /// and the module held the exchange for silent. What later set-ups elsewhere overtake is lost, and is tried again. A
 /// release that crosses the close of the connection was thrown away, and its caller was not told.
 #[test]
-fn a_connection_that_holds_back_an_answer_is_closed() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    caller.stand(&mut peer, "stands");
-    caller.say(&invite("lost"));
-    assert_eq!(peer.hear("INVITE").get("Call-ID"), Some(id_of("lost").as_str()));
-    let (held, mut closed, mut served) = (peer.last, false, Vec::new());
+fn a_connection_that_withholds_an_answer_is_closed() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.set_up_call(&mut exchange, "stands");
+    caller.send_message(&invite("lost"));
+    assert_eq!(exchange.expect_message("INVITE").get("Call-ID"), Some(id_of("lost").as_str()));
+    let (silent_connection, mut closed, mut served) = (exchange.last_connection, false, Vec::new());
     for n in 0.. {
         let name = format!("call-{n}");
-        caller.say(&invite(&name));
+        caller.send_message(&invite(&name));
         while !served.contains(&id_of(&name)) {
-            match peer.receive() {
+            match exchange.receive() {
                 None => {
-                    assert_eq!(peer.last, held);
+                    assert_eq!(exchange.last_connection, silent_connection);
                     closed = true;
-                    peer.say(&bye("stands", 16));
-                    assert_eq!(caller.hear("BYE").get("Call-ID"), Some(id_of("stands").as_str()));
+                    exchange.send_message(&bye("stands", 16));
+                    assert_eq!(caller.expect_message("BYE").get("Call-ID"), Some(id_of("stands").as_str()));
                 }
                 Some(message) if message.method() == Some("INVITE") => {
-                    peer.say(&Message::response(200, "OK", &message.headers));
+                    exchange.send_message(&Message::response(200, "OK", &message.headers));
                     served.push(message.get("Call-ID").expect("an id").to_owned());
-                    let heard = caller.hear("200");
-                    let mut over = bye("x", 16);
-                    standin::swap(&mut over, "Call-ID", heard.get("Call-ID").expect("an id"));
-                    caller.say(&over);
-                    caller.hear("200");
+                    let answer = caller.expect_message("200");
+                    let mut release = bye("x", 16);
+                    standin::set_header(&mut release, "Call-ID", answer.get("Call-ID").expect("an id"));
+                    caller.send_message(&release);
+                    caller.expect_message("200");
                 }
                 Some(_) => {}
             }
@@ -533,65 +535,66 @@
         }
     }
     assert!(closed, "it was tried again, as its connection was closed");
-    bench.end();
+    fixture.shut_down();
 }
 
 /// Guards against beliefs about the wrong process: an exchange that drains and has stopped is not connected to again,
 /// as a new one may listen at its address. Its calls are released at once.
 #[test]
-fn an_exchange_that_drains_and_stops_is_left_alone() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    caller.stand(&mut peer, "a");
-    let (mut bulletin, _) = asked(&bench.bulletin);
-    writeln!(bulletin, "{}", event(4, false, "draining", addr_of(&bench.exchange))).expect("it is sent");
-    let ends: Vec<_> = peer.lines.iter().map(|line| line.try_clone().expect("a handle")).collect();
+fn a_drained_exchange_that_stopped_is_not_reconnected() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.set_up_call(&mut exchange, "a");
+    let (mut discovery, _) = read_resume_request(&fixture.discovery);
+    writeln!(discovery, "{}", roster_event(4, false, "draining", addr_of(&fixture.exchange_listener)))
+        .expect("it is sent");
+    let ends: Vec<_> = exchange.streams.iter().map(|stream| stream.try_clone().expect("a handle")).collect();
     // It is told once a call for it is refused.
-    until_refused(&mut caller, peer);
+    call_until_refused(&mut caller, exchange);
     for end in ends {
         end.shutdown(std::net::Shutdown::Both).expect("it is open");
     }
-    let release = caller.hear("BYE");
+    let release = caller.expect_message("BYE");
     assert_eq!(
         (release.get("Call-ID"), release.get("Reason")),
         (Some(id_of("a").as_str()), Some("Q.850;cause=41"))
     );
     // The next connection here is that of the list's next exchange.
-    let mut new = event(5, false, "ready", addr_of(&bench.exchange));
+    let mut new = roster_event(5, false, "ready", addr_of(&fixture.exchange_listener));
     new["roster"]["instances"][0]["instanceId"] = json!("s-new");
-    writeln!(bulletin, "{new}").expect("it is sent");
-    let mut fresh = taken(&bench.exchange);
-    fresh.say(&notify());
-    while caller.test() != Some(200) {}
-    caller.say(&invite("b"));
-    let headers = fresh.hear("INVITE").headers;
-    fresh.say(&Message::response(486, "Busy Here", &headers));
-    caller.hear("503");
-    bench.end();
+    writeln!(discovery, "{new}").expect("it is sent");
+    let mut new_connections = accept_connections(&fixture.exchange_listener);
+    new_connections.send_message(&state_notification());
+    while caller.send_options() != Some(200) {}
+    caller.send_message(&invite("b"));
+    let headers = new_connections.expect_message("INVITE").headers;
+    new_connections.send_message(&Message::response(486, "Busy Here", &headers));
+    caller.expect_message("503");
+    fixture.shut_down();
 }
 
 /// Guards against a list that stops: silence on the bulletin's connection ends it, and the next one asks for
 /// what came since.
 #[test]
-fn the_bulletin_is_followed_over_a_silent_connection_and_drains_are_kept() {
-    let bench = Bench::start();
-    let peer = bench.peer();
-    let (mut stream, line) = asked(&bench.bulletin);
+fn a_silent_discovery_connection_is_replaced_and_drains_are_kept() {
+    let fixture = Fixture::start();
+    let exchange = fixture.ready_exchange();
+    let (mut stream, line) = read_resume_request(&fixture.discovery);
     assert_eq!(line, "after 3\n");
-    let drains = event(4, false, "draining", addr_of(&bench.exchange));
+    let drains = roster_event(4, false, "draining", addr_of(&fixture.exchange_listener));
     writeln!(stream, "3\n{drains}\n4").expect("it is sent");
-    until_refused(&mut bench.caller(), peer);
-    let (_stream, line) = asked(&bench.bulletin);
+    call_until_refused(&mut fixture.caller(), exchange);
+    let (_stream, line) = read_resume_request(&fixture.discovery);
     assert_eq!(line, "after 4\n");
-    bench.end();
+    fixture.shut_down();
 }
 
 #[test]
-fn bad_set_ups_are_answered_for_good_and_cost_no_connection() {
-    let bench = Bench::start();
-    let _peer = bench.peer();
-    let mut caller = bench.caller();
+fn invalid_set_ups_are_rejected_and_keep_the_connection_open() {
+    let fixture = Fixture::start();
+    let _peer = fixture.ready_exchange();
+    let mut caller = fixture.caller();
     let cases = [
         ("X-Tier", "none", "488"),
         ("X-Tenant", "stranger", "403"),
@@ -609,60 +612,62 @@
     ];
     for (name, value, status) in cases {
         let mut message = invite("a");
-        standin::swap(&mut message, name, value);
-        caller.say(&message);
-        caller.hear(status);
+        standin::set_header(&mut message, name, value);
+        caller.send_message(&message);
+        caller.expect_message(status);
     }
     assert!(
         caller.send(b"INVITE sip:a@net SIP/9\r\nCall-ID: c\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n")
     );
-    caller.hear("400");
-    assert_eq!(caller.test(), Some(200));
+    caller.expect_message("400");
+    assert_eq!(caller.send_options(), Some(200));
     // Where the bounds are lost the connection is closed, and only that one.
     assert!(caller.send(b"INVITE sip:a@net SIP/2.0\r\nCall-ID: c\r\n\r\n"));
     assert!(caller.receive().is_none());
-    assert_eq!(bench.caller().test(), Some(200));
-    bench.end();
+    assert_eq!(fixture.caller().send_options(), Some(200));
+    fixture.shut_down();
 }
 
 /// Guards the usual callers against bad ones. The set-up of a caller was hijacked by another connection that sent the
 /// same id, which was then answered 'served'; a CANCEL from anywhere took it back.
 #[test]
-fn the_id_of_an_open_call_belongs_to_its_caller() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
-    let (mut caller, mut thief) = (bench.caller(), bench.caller());
-    caller.say(&invite("a"));
-    let seen = peer.hear("INVITE");
-    let mut other = invite("a");
-    other.body = b"another".to_vec();
-    thief.say(&other);
-    thief.hear("482");
-    thief.say(&Message::request("CANCEL", "sip:x@net").with("Call-ID", id_of("a")).with("CSeq", "1 CANCEL"));
-    thief.hear("481");
-    thief.say(&bye("a", 16));
-    thief.hear("481");
-    peer.say(&Message::response(200, "OK", &seen.headers));
-    peer.hear("ACK");
-    caller.hear("200");
-    caller.say(&bye("a", 16));
-    caller.hear("200");
+fn the_id_of_a_pending_call_can_not_be_used_by_another_caller() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let (mut caller, mut other_caller) = (fixture.caller(), fixture.caller());
+    caller.send_message(&invite("a"));
+    let seen = exchange.expect_message("INVITE");
+    let mut other_set_up = invite("a");
+    other_set_up.body = b"another".to_vec();
+    other_caller.send_message(&other_set_up);
+    other_caller.expect_message("482");
+    other_caller.send_message(
+        &Message::request("CANCEL", "sip:x@net").with("Call-ID", id_of("a")).with("CSeq", "1 CANCEL"),
+    );
+    other_caller.expect_message("481");
+    other_caller.send_message(&bye("a", 16));
+    other_caller.expect_message("481");
+    exchange.send_message(&Message::response(200, "OK", &seen.headers));
+    exchange.expect_message("ACK");
+    caller.expect_message("200");
+    caller.send_message(&bye("a", 16));
+    caller.expect_message("200");
     // Two set-ups of one id on one connection: both go, and nothing is served.
-    thief.say(&invite("b"));
-    peer.hear("BYE");
-    peer.hear("INVITE");
-    thief.say(&invite("b"));
-    assert!(thief.receive().is_none());
-    assert_eq!(peer.hear("CANCEL").get("Call-ID"), Some(id_of("b").as_str()));
-    bench.end();
+    other_caller.send_message(&invite("b"));
+    exchange.expect_message("BYE");
+    exchange.expect_message("INVITE");
+    other_caller.send_message(&invite("b"));
+    assert!(other_caller.receive().is_none());
+    assert_eq!(exchange.expect_message("CANCEL").get("Call-ID"), Some(id_of("b").as_str()));
+    fixture.shut_down();
 }
 
 /// Guards descriptors and bad clients' due: what never brings a whole message, brings one without an id, or a body
 /// of any length is closed, and a usual caller is served meanwhile.
 #[test]
-fn what_can_not_be_answered_is_closed() {
-    let bench = Bench::start();
-    let mut peer = bench.peer();
+fn connections_that_can_not_be_answered_are_closed() {
+    let fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
     let bad: [&[u8]; 5] = [
         b"",
         b"INVITE sip:a@net SIP/2.0\r\nCall-ID: 0123",
@@ -670,42 +675,42 @@
         b"INVITE sip:a@net SIP/2.0\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n",
         b"INVITE sip:a@net SIP/2.0\r\nCall-ID: 0123456789abcdef\r\nContent-Length: 60000000\r\n\r\nabc",
     ];
-    let mut lines = bad.map(|bytes| {
-        let mut line = bench.caller();
-        assert!(line.send(bytes));
-        line
+    let mut callers = bad.map(|bytes| {
+        let mut caller = fixture.caller();
+        assert!(caller.send(bytes));
+        caller
     });
-    let mut caller = bench.caller();
-    caller.stand(&mut peer, "a");
-    for (line, bytes) in lines.iter_mut().zip(bad) {
-        assert!(line.receive().is_none(), "{}", String::from_utf8_lossy(bytes));
+    let mut caller = fixture.caller();
+    caller.set_up_call(&mut exchange, "a");
+    for (caller, bytes) in callers.iter_mut().zip(bad) {
+        assert!(caller.receive().is_none(), "{}", String::from_utf8_lossy(bytes));
     }
-    caller.say(&bye("a", 16));
-    caller.hear("200");
-    bench.end();
+    caller.send_message(&bye("a", 16));
+    caller.expect_message("200");
+    fixture.shut_down();
 }
 
 /// Guards planned restarts: a program that is to end serves what still comes, until its last call is over.
 #[test]
-fn a_program_that_is_to_end_serves_until_its_calls_are_over() {
-    let mut bench = Bench::start();
-    let mut peer = bench.peer();
-    let mut caller = bench.caller();
-    caller.stand(&mut peer, "a");
-    bench.stop.try_send(()).expect("it runs");
-    let mut late = bench.caller();
-    late.stand(&mut peer, "b");
+fn a_shutdown_serves_until_all_calls_have_ended() {
+    let mut fixture = Fixture::start();
+    let mut exchange = fixture.ready_exchange();
+    let mut caller = fixture.caller();
+    caller.set_up_call(&mut exchange, "a");
+    fixture.shutdown.try_send(()).expect("it runs");
+    let mut late = fixture.caller();
+    late.set_up_call(&mut exchange, "b");
     for id in ["a", "b"] {
-        peer.say(&bye(id, 16));
+        exchange.send_message(&bye(id, 16));
     }
-    assert_eq!(caller.hear("BYE").get("Call-ID"), Some(id_of("a").as_str()));
-    assert_eq!(late.hear("BYE").get("Call-ID"), Some(id_of("b").as_str()));
-    bench.drained();
+    assert_eq!(caller.expect_message("BYE").get("Call-ID"), Some(id_of("a").as_str()));
+    assert_eq!(late.expect_message("BYE").get("Call-ID"), Some(id_of("b").as_str()));
+    fixture.wait_for_exit();
 }
 
 /// The program itself: SIGHUP does not end it, SIGTERM ends it well once nothing is left.
 #[test]
-fn sigterm_ends_the_program_well() {
+fn sigterm_shuts_the_program_down_cleanly() {
     let service = service_on_free_ports();
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_mallowring"))
         .env("MALLOWRING_SERVICE", &service)
--- a/tests/sip_loopback.rs
+++ b/tests/sip_loopback.rs
@@ -8,7 +8,7 @@
 
 use mallowring::sip::header::Transport;
 use mallowring::sip::message::Message;
-use standin::{swap, Caller, Exchange, Proxy};
+use standin::{set_header, Caller, Exchange, Proxy};
 
 const MIXES: [(Transport, Transport); 4] = [
     (Transport::Udp, Transport::Udp),
@@ -35,7 +35,7 @@
     caller.send(&invite);
     if script == "cancel" {
         exchange.wait_for(script, "INVITE");
-        caller.send(&caller.follow(&invite, "CANCEL"));
+        caller.send(&caller.same_transaction(&invite, "CANCEL"));
     }
     let fin = caller.final_response("INVITE");
     let mut seen = vec![format!("caller: {}", fin.status().unwrap_or(0))];
@@ -55,7 +55,7 @@
         }
         _ => caller.send(&caller.ack(&invite, &fin)),
     }
-    seen.extend(exchange.settled(script));
+    seen.extend(exchange.wait_for_end(script));
     seen
 }
 
@@ -109,10 +109,10 @@
         caller.send(&invite);
         exchange.wait_for("answer-when-told", "INVITE");
         caller.reset();
-        let mut caller = caller.over(Transport::Udp);
+        let mut caller = caller.over_transport(Transport::Udp);
         caller.send(&invite);
         assert_eq!(caller.response("INVITE").status(), Some(100), "it is known: nothing new is sent");
-        exchange.answer_now();
+        exchange.answer_held_set_up();
         let fin = caller.final_response("INVITE");
         assert_eq!(fin.status(), Some(200));
         // A repeat after the answer is absorbed too.
@@ -121,7 +121,7 @@
         // The dialog began over TCP and goes on over UDP.
         caller.send(&caller.in_dialog(&fin, "BYE"));
         assert_eq!(caller.final_response("BYE").status(), Some(200));
-        assert_eq!(exchange.settled("answer-when-told"), ["INVITE", "ACK", "BYE"]);
+        assert_eq!(exchange.wait_for_end("answer-when-told"), ["INVITE", "ACK", "BYE"]);
     }
 }
 
@@ -137,10 +137,10 @@
             caller.send(&invite);
             let fin = caller.final_response("INVITE");
             caller.send(&caller.in_dialog(&fin, "ACK"));
-            let mut other = caller.over(then);
+            let mut other = caller.over_transport(then);
             other.send(&other.in_dialog(&fin, "BYE"));
             assert_eq!(other.final_response("BYE").status(), Some(200));
-            assert_eq!(exchange.settled("answer"), ["INVITE", "ACK", "BYE"]);
+            assert_eq!(exchange.wait_for_end("answer"), ["INVITE", "ACK", "BYE"]);
         }
     }
 }
@@ -151,13 +151,13 @@
     let proxy = proxy(&exchange, Transport::Udp);
     type Spoil = fn(&mut Message);
     let cases: [(Spoil, u16); 8] = [
-        (|m| swap(m, "X-Tier", "no-such-class"), 488),
-        (|m| swap(m, "From", "<sip:a@stranger>;tag=s"), 403),
+        (|m| set_header(m, "X-Tier", "no-such-class"), 488),
+        (|m| set_header(m, "From", "<sip:a@stranger>;tag=s"), 403),
         (|m| m.start = Message::request("INVITE", "sip:nowhere@x").start, 404),
         (|m| m.start = Message::request("INVITE", "tel:+5021").start, 416),
-        (|m| swap(m, "X-Deadline", "soon"), 400),
-        (|m| swap(m, "Max-Forwards", "0"), 483),
-        (|m| swap(m, "Require", "100rel"), 420),
+        (|m| set_header(m, "X-Deadline", "soon"), 400),
+        (|m| set_header(m, "Max-Forwards", "0"), 483),
+        (|m| set_header(m, "Require", "100rel"), 420),
         (|m| m.headers.retain(|(n, _)| n != "Contact"), 400),
     ];
     for transport in [Transport::Udp, Transport::Tcp] {
@@ -173,13 +173,13 @@
         let mut caller = Caller::new(proxy.addr, transport);
         let lost = caller.invite("answer", 5000, b"");
         for (method, status) in [("BYE", 481), ("CANCEL", 481), ("OPTIONS", 200), ("REGISTER", 405)] {
-            let mut message = caller.follow(&lost, method);
-            swap(&mut message, "Via", &caller.via());
+            let mut message = caller.same_transaction(&lost, method);
+            set_header(&mut message, "Via", &caller.via());
             caller.send(&message);
             assert_eq!(caller.final_response(method).status(), Some(status), "{method}");
         }
     }
-    assert!(exchange.settled("answer").is_empty(), "nothing of this went out");
+    assert!(exchange.wait_for_end("answer").is_empty(), "nothing of this went out");
 }
 
 /// Guards the framing: a malformed message on a stream costs neither the stream nor the next message.
@@ -189,20 +189,20 @@
     let proxy = proxy(&exchange, Transport::Udp);
     let bad = b"INVITE sip:x SIP/3.0\r\nCall-ID: c-9\r\nCSeq: 1 INVITE\r\nContent-Length: 3\r\n\r\nabc";
     let mut caller = Caller::new(proxy.addr, Transport::Tcp);
-    caller.raw(bad);
-    let refusal = caller.any();
+    caller.send_raw(bad);
+    let refusal = caller.next_message();
     assert_eq!((refusal.status(), refusal.get("Call-ID")), (Some(400), Some("c-9")));
     let options = |caller: &mut Caller| {
         let known = caller.invite("answer", 5000, b"");
-        let mut message = caller.follow(&known, "OPTIONS");
-        swap(&mut message, "Via", &caller.via());
+        let mut message = caller.same_transaction(&known, "OPTIONS");
+        set_header(&mut message, "Via", &caller.via());
         caller.send(&message);
-        caller.any().status()
+        caller.next_message().status()
     };
     assert_eq!(options(&mut caller), Some(200), "the stream goes on");
     let mut caller = Caller::new(proxy.addr, Transport::Udp);
-    caller.raw(bad);
-    caller.raw(b"\xff\xfe");
+    caller.send_raw(bad);
+    caller.send_raw(b"\xff\xfe");
     assert_eq!(options(&mut caller), Some(200), "nothing else was answered");
 }
 
@@ -217,8 +217,8 @@
         let mut deaf = Caller::new(addr, Transport::Tcp);
         let known = deaf.invite("answer", 5000, b"");
         for _ in 0..20_000 {
-            let mut message = deaf.follow(&known, "OPTIONS");
-            swap(&mut message, "Via", &deaf.via());
+            let mut message = deaf.same_transaction(&known, "OPTIONS");
+            set_header(&mut message, "Via", &deaf.via());
             // Its connection is closed on it in the end.
             if !deaf.try_send(&message) {
                 break;
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -15,15 +15,15 @@
 use mallowring::sip::message::{Framer, Message, Start, MOST};
 
 /// So long that only a failure meets it.
-const NEVER: Duration = Duration::from_secs(60);
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn fresh() -> u64 {
+fn next_number() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
 /// Gives a header another value.
-pub fn swap(message: &mut Message, name: &str, value: &str) {
+pub fn set_header(message: &mut Message, name: &str, value: &str) {
     message.headers.retain(|(n, _)| n != name);
     message.headers.push((name.to_owned(), value.to_owned()));
 }
@@ -39,13 +39,15 @@
 
 impl Proxy {
     /// With these exchanges in place of the file's, and more sections.
-    pub fn start(exchanges: &str, more: &str) -> Proxy {
+    pub fn start(exchanges: &str, more_sections: &str) -> Proxy {
         let text = std::fs::read_to_string("deploy/service.toml").expect("the service file");
         let (head, rest) = text.split_once("[[sip.exchanges]]").expect("an exchange");
         let (_, settings) = rest.split_once("[settings]").expect("settings");
         let head = head.replace("127.0.0.1:5060", "127.0.0.1:0");
-        let path = std::env::temp_dir().join(format!("mallowring-{}-{}.toml", std::process::id(), fresh()));
-        std::fs::write(&path, format!("{head}{exchanges}{more}\n[settings]{settings}")).expect("a file");
+        let path =
+            std::env::temp_dir().join(format!("mallowring-{}-{}.toml", std::process::id(), next_number()));
+        std::fs::write(&path, format!("{head}{exchanges}{more_sections}\n[settings]{settings}"))
+            .expect("a file");
         let env = BTreeMap::from([("MALLOWRING_SERVICE".to_owned(), path.display().to_string())]);
         let config = Config::read(&env);
         std::fs::remove_file(&path).expect("the file is there");
@@ -67,52 +69,52 @@
 }
 
 /// One way that messages travel.
-pub enum Line {
+pub enum SipSocket {
     Udp(UdpSocket, SocketAddr),
     Tcp(TcpStream, Framer),
 }
 
-impl Line {
-    pub fn connect(to: SocketAddr, transport: Transport) -> Line {
+impl SipSocket {
+    pub fn connect(to: SocketAddr, transport: Transport) -> SipSocket {
         match transport {
             Transport::Udp => {
                 let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-                socket.set_read_timeout(Some(NEVER)).expect("a time limit");
-                Line::Udp(socket, to)
+                socket.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
+                SipSocket::Udp(socket, to)
             }
-            Transport::Tcp => Line::of(TcpStream::connect(to).expect("a connection")),
+            Transport::Tcp => SipSocket::from_stream(TcpStream::connect(to).expect("a connection")),
         }
     }
 
     /// A connection that is up.
-    pub fn of(stream: TcpStream) -> Line {
-        stream.set_read_timeout(Some(NEVER)).expect("a time limit");
-        Line::Tcp(stream, Framer::default())
+    pub fn from_stream(stream: TcpStream) -> SipSocket {
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
+        SipSocket::Tcp(stream, Framer::default())
     }
 
     fn local(&self) -> SocketAddr {
         match self {
-            Line::Udp(socket, _) => socket.local_addr(),
-            Line::Tcp(stream, _) => stream.local_addr(),
+            SipSocket::Udp(socket, _) => socket.local_addr(),
+            SipSocket::Tcp(stream, _) => stream.local_addr(),
         }
         .expect("a local address")
     }
 
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         match self {
-            Line::Udp(socket, to) => socket.send_to(bytes, *to).is_ok(),
-            Line::Tcp(stream, _) => stream.write_all(bytes).is_ok(),
+            SipSocket::Udp(socket, to) => socket.send_to(bytes, *to).is_ok(),
+            SipSocket::Tcp(stream, _) => stream.write_all(bytes).is_ok(),
         }
     }
 
     pub fn receive(&mut self) -> Option<Message> {
         let mut bytes = vec![0; MOST];
         match self {
-            Line::Udp(socket, _) => {
+            SipSocket::Udp(socket, _) => {
                 let (n, _) = socket.recv_from(&mut bytes).ok()?;
                 Some(Message::datagram(&bytes[..n]).expect("a message"))
             }
-            Line::Tcp(stream, framer) => loop {
+            SipSocket::Tcp(stream, framer) => loop {
                 if let Some(message) = framer.pull().expect("framing") {
                     return Some(message.expect("a message"));
                 }
@@ -128,39 +130,39 @@
 /// A caller.
 pub struct Caller {
     proxy: SocketAddr,
-    line: Line,
+    socket: SipSocket,
     transport: Transport,
     call_id: String,
     tag: String,
     /// What came while something else was waited for.
-    kept: Vec<Message>,
+    unread: Vec<Message>,
 }
 
 impl Caller {
     pub fn new(proxy: SocketAddr, transport: Transport) -> Caller {
-        let line = Line::connect(proxy, transport);
-        let (call_id, tag) = (format!("call-{}", fresh()), format!("tag-{}", fresh()));
-        Caller { proxy, line, transport, call_id, tag, kept: Vec::new() }
+        let socket = SipSocket::connect(proxy, transport);
+        let (call_id, tag) = (format!("call-{}", next_number()), format!("tag-{}", next_number()));
+        Caller { proxy, socket, transport, call_id, tag, unread: Vec::new() }
     }
 
     /// The same caller on another way to the proxy.
-    pub fn over(&self, transport: Transport) -> Caller {
+    pub fn over_transport(&self, transport: Transport) -> Caller {
         let mut other = Caller::new(self.proxy, transport);
         (other.call_id, other.tag) = (self.call_id.clone(), self.tag.clone());
         other
     }
 
     pub fn via(&self) -> String {
-        let (name, local) = (self.transport.name(), self.line.local());
-        format!("SIP/2.0/{name} {local};rport;branch=z9hG4bK{}", fresh())
+        let (name, local) = (self.transport.name(), self.socket.local());
+        format!("SIP/2.0/{name} {local};rport;branch=z9hG4bK{}", next_number())
     }
 
     fn contact(&self) -> String {
         let name = self.transport.name().to_lowercase();
-        format!("<sip:caller@{};transport={name}>", self.line.local())
+        format!("<sip:caller@{};transport={name}>", self.socket.local())
     }
 
-    pub fn invite(&self, number: &str, wait: u32, body: &[u8]) -> Message {
+    pub fn invite(&self, number: &str, deadline_ms: u32, body: &[u8]) -> Message {
         let mut message = Message::request("INVITE", &format!("sip:{number}@{}", self.proxy))
             .with("Via", self.via())
             .with("Max-Forwards", 70)
@@ -171,13 +173,13 @@
             .with("Contact", self.contact())
             // Urgent, so that no sample of the module's on a busy machine refuses it.
             .with("Priority", "emergency")
-            .with("X-Deadline", wait);
+            .with("X-Deadline", deadline_ms);
         message.body = body.to_vec();
         message
     }
 
     /// A request that belongs to the transaction of another one.
-    pub fn follow(&self, invite: &Message, method: &str) -> Message {
+    pub fn same_transaction(&self, invite: &Message, method: &str) -> Message {
         let mut message = invite.clone();
         message.body.clear();
         if let Start::Request { method: m, .. } = &mut message.start {
@@ -189,7 +191,7 @@
 
     /// The ACK of a refusal.
     pub fn ack(&self, invite: &Message, refusal: &Message) -> Message {
-        let mut message = self.follow(invite, "ACK");
+        let mut message = self.same_transaction(invite, "ACK");
         message.headers.retain(|(n, _)| n != "To");
         message.with("To", refusal.get("To").expect("a To"))
     }
@@ -212,56 +214,58 @@
     }
 
     pub fn try_send(&mut self, message: &Message) -> bool {
-        self.line.send(&message.bytes())
+        self.socket.send(&message.bytes())
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
-        assert!(self.line.send(bytes));
+    pub fn send_raw(&mut self, bytes: &[u8]) {
+        assert!(self.socket.send(bytes));
     }
 
     /// Resets the connection: closing it with something unread does. What is unread is waited for.
     pub fn reset(&mut self) {
-        let fresh = Line::connect(self.proxy, Transport::Tcp);
-        if let Line::Tcp(stream, _) = std::mem::replace(&mut self.line, fresh) {
+        let new_socket = SipSocket::connect(self.proxy, Transport::Tcp);
+        if let SipSocket::Tcp(stream, _) = std::mem::replace(&mut self.socket, new_socket) {
             assert!(stream.peek(&mut [0]).expect("something to leave unread") > 0);
         }
     }
 
     /// The next message, whatever it is.
-    pub fn any(&mut self) -> Message {
-        self.line.receive().expect("a message")
+    pub fn next_message(&mut self) -> Message {
+        self.socket.receive().expect("a message")
     }
 
-    fn wanted(&mut self, fits: impl Fn(&Message) -> bool) -> Message {
-        if let Some(ix) = self.kept.iter().position(&fits) {
-            return self.kept.remove(ix);
+    fn next_matching(&mut self, matches: impl Fn(&Message) -> bool) -> Message {
+        if let Some(ix) = self.unread.iter().position(&matches) {
+            return self.unread.remove(ix);
         }
         loop {
-            let message = self.any();
-            if fits(&message) {
+            let message = self.next_message();
+            if matches(&message) {
                 return message;
             }
-            self.kept.push(message);
+            self.unread.push(message);
         }
     }
 
     pub fn response(&mut self, method: &str) -> Message {
-        self.wanted(|m| m.status().is_some() && m.cseq().is_some_and(|(_, said)| said == method))
+        self.next_matching(|m| {
+            m.status().is_some() && m.cseq().is_some_and(|(_, cseq_method)| cseq_method == method)
+        })
     }
 
     pub fn final_response(&mut self, method: &str) -> Message {
-        let fits = |m: &Message| m.cseq().is_some_and(|(_, said)| said == method);
-        self.wanted(|m| m.status() >= Some(200) && fits(m))
+        let matches = |m: &Message| m.cseq().is_some_and(|(_, cseq_method)| cseq_method == method);
+        self.next_matching(|m| m.status() >= Some(200) && matches(m))
     }
 
     pub fn request(&mut self, method: &str) -> Message {
-        self.wanted(|m| m.method() == Some(method))
+        self.next_matching(|m| m.method() == Some(method))
     }
 }
 
 /// What the exchange has seen of one number.
 #[derive(Default)]
-struct Seen {
+struct NumberRecord {
     requests: Vec<String>,
     /// Transactions and their last responses, for repeats.
     answers: BTreeMap<String, Vec<Message>>,
@@ -270,11 +274,11 @@
 
 #[derive(Default)]
 struct State {
-    numbers: BTreeMap<String, Seen>,
+    numbers: BTreeMap<String, NumberRecord>,
     /// The number that each dialog is of.
     calls: BTreeMap<String, String>,
     told: bool,
-    held: Option<(Message, Reply)>,
+    held_set_up: Option<(Message, Reply)>,
 }
 
 #[derive(Clone)]
@@ -313,7 +317,7 @@
             let mut bytes = vec![0; MOST];
             while let Ok((n, from)) = udp.recv_from(&mut bytes) {
                 let message = Message::datagram(&bytes[..n]).expect("a message of the proxy's");
-                heed(&shared, addr, message, &Reply::Udp(udp.clone(), from));
+                handle_request(&shared, addr, message, &Reply::Udp(udp.clone(), from));
             }
         });
         let shared = state.clone();
@@ -321,10 +325,10 @@
             while let Ok((stream, _)) = tcp.accept() {
                 let shared = shared.clone();
                 let reply = Reply::Tcp(Arc::new(Mutex::new(stream.try_clone().expect("a handle"))));
-                let mut line = Line::Tcp(stream, Framer::default());
+                let mut socket = SipSocket::Tcp(stream, Framer::default());
                 thread::spawn(move || {
-                    while let Some(message) = line.receive() {
-                        heed(&shared, addr, message, &reply);
+                    while let Some(message) = socket.receive() {
+                        handle_request(&shared, addr, message, &reply);
                     }
                 });
             }
@@ -342,39 +346,39 @@
         )
     }
 
-    fn until<T>(&self, what: &str, look: impl Fn(&mut State) -> Option<T>) -> T {
+    fn wait_until<T>(&self, what: &str, condition: impl Fn(&mut State) -> Option<T>) -> T {
         let mut state = self.state.0.lock().expect("no panic");
         loop {
-            if let Some(found) = look(&mut state) {
+            if let Some(found) = condition(&mut state) {
                 return found;
             }
-            let (next, late) = self.state.1.wait_timeout(state, NEVER).expect("no panic");
-            assert!(!late.timed_out(), "the exchange never saw {what}");
+            let (next, timeout) = self.state.1.wait_timeout(state, READ_TIMEOUT).expect("no panic");
+            assert!(!timeout.timed_out(), "the exchange never saw {what}");
             state = next;
         }
     }
 
     /// Waits until a request of some number has come.
     pub fn wait_for(&self, number: &str, method: &str) {
-        self.until(method, |state| {
-            let seen = state.numbers.get(number)?;
-            seen.requests.iter().any(|r| r == method).then_some(())
+        self.wait_until(method, |state| {
+            let record = state.numbers.get(number)?;
+            record.requests.iter().any(|r| r == method).then_some(())
         });
     }
 
     /// Lets the set-up that waits for it be answered.
-    pub fn answer_now(&self) {
-        let (message, reply) = self.until("a held set-up", |state| state.held.take());
+    pub fn answer_held_set_up(&self) {
+        let (message, reply) = self.wait_until("a held set-up", |state| state.held_set_up.take());
         answer(self.addr, &message, &reply);
     }
 
     /// What came for a number: waits for the end of its last transaction, an ACK, or a BYE where the caller
     /// hangs up.
-    pub fn settled(&self, number: &str) -> Vec<String> {
-        self.until("the end of a call", |state| {
-            let Some(seen) = state.numbers.get(number) else { return Some(Vec::new()) };
+    pub fn wait_for_end(&self, number: &str) -> Vec<String> {
+        self.wait_until("the end of a call", |state| {
+            let Some(record) = state.numbers.get(number) else { return Some(Vec::new()) };
             let last = if number.starts_with("answer") { "BYE" } else { "ACK" };
-            (seen.requests.last().map(String::as_str) == Some(last)).then(|| seen.requests.clone())
+            (record.requests.last().map(String::as_str) == Some(last)).then(|| record.requests.clone())
         })
     }
 }
@@ -401,7 +405,7 @@
 }
 
 /// Takes one message as RFC 3261 has it: repeats get the same answer and are not counted.
-fn heed(shared: &Arc<(Mutex<State>, Condvar)>, addr: SocketAddr, message: Message, reply: &Reply) {
+fn handle_request(shared: &Arc<(Mutex<State>, Condvar)>, addr: SocketAddr, message: Message, reply: &Reply) {
     let Some(method) = message.method().map(str::to_owned) else { return };
     let call_id = message.get("Call-ID").expect("a Call-ID").to_owned();
     let branch = message.get("Via").and_then(|v| header::param(v, "branch")).expect("a branch");
@@ -414,50 +418,50 @@
         state.calls.insert(call_id.clone(), number);
     }
     let number = state.calls.get(&call_id).cloned().unwrap_or_default();
-    let seen = state.numbers.entry(number.clone()).or_default();
-    if let Some(answers) = seen.answers.get(&transaction) {
+    let record = state.numbers.entry(number.clone()).or_default();
+    if let Some(answers) = record.answers.get(&transaction) {
         answers.iter().for_each(|m| reply.send(m));
         return;
     }
-    seen.requests.push(method.clone());
-    let plain = |status, reason| with_tag(Message::response(status, reason, &message.headers));
+    record.requests.push(method.clone());
+    let response = |status, reason| with_tag(Message::response(status, reason, &message.headers));
     let mut answers = Vec::new();
     match method.as_str() {
         "INVITE" => {
-            seen.invites += 1;
-            answers.push(plain(100, "Trying"));
-            match (number.as_str(), seen.invites) {
+            record.invites += 1;
+            answers.push(response(100, "Trying"));
+            match (number.as_str(), record.invites) {
                 ("answer" | "hangup" | "cut", _) | ("reset", 2) => {
-                    answers.push(plain(180, "Ringing"));
+                    answers.push(response(180, "Ringing"));
                     answers.push(success(addr, &message));
                 }
-                ("busy", _) => answers.push(plain(486, "Busy Here")),
-                ("full", _) => answers.push(plain(503, "Service Unavailable")),
-                ("error", _) => answers.push(plain(500, "Server Internal Error")),
-                ("reset", _) => answers.push(plain(504, "Server Time-out")),
-                ("answer-when-told", _) => state.held = Some((message.clone(), reply.clone())),
+                ("busy", _) => answers.push(response(486, "Busy Here")),
+                ("full", _) => answers.push(response(503, "Service Unavailable")),
+                ("error", _) => answers.push(response(500, "Server Internal Error")),
+                ("reset", _) => answers.push(response(504, "Server Time-out")),
+                ("answer-when-told", _) => state.held_set_up = Some((message.clone(), reply.clone())),
                 _ => {}
             }
         }
         "CANCEL" => {
-            answers.push(plain(200, "OK"));
-            let mut gone = plain(487, "Request Terminated");
-            for (name, value) in &mut gone.headers {
+            answers.push(response(200, "OK"));
+            let mut terminated = response(487, "Request Terminated");
+            for (name, value) in &mut terminated.headers {
                 if name == "CSeq" {
                     *value = value.replace("CANCEL", "INVITE");
                 }
             }
-            answers.push(gone);
+            answers.push(terminated);
         }
-        "BYE" => answers.push(plain(200, "OK")),
+        "BYE" => answers.push(response(200, "OK")),
         "ACK"
             if matches!(number.as_str(), "hangup" | "cut" | "reset") && message.get("Contact").is_none() =>
         {
-            let refused = number == "reset" && seen.invites < 2;
+            let refused = number == "reset" && record.invites < 2;
             if !refused {
                 let cause = if number == "cut" { 41 } else { 16 };
                 let bye = Message::request("BYE", "sip:mallowring@127.0.0.1")
-                    .with("Via", format!("SIP/2.0/UDP {addr};rport;branch=z9hG4bK{}", fresh()))
+                    .with("Via", format!("SIP/2.0/UDP {addr};rport;branch=z9hG4bK{}", next_number()))
                     .with("Max-Forwards", 70)
                     .with("From", message.get("To").expect("a To"))
                     .with("To", message.get("From").expect("a From"))
@@ -470,6 +474,6 @@
         _ => {}
     }
     answers.iter().for_each(|m| reply.send(m));
-    seen.answers.insert(transaction, answers);
+    record.answers.insert(transaction, answers);
     shared.1.notify_all();
 }
