--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Memory and descriptors stay inside the deployment's limits, however many exchanges there are: the built program among
 //! many exchanges and crowds.
 
-mod scene;
+mod deployment;
 
 use mallowring_standin::caller::Caller;
 use mallowring_standin::discovery::{Lifecycle, RosterEntry};
@@ -10,7 +10,7 @@
 use mallowring_standin::proxy::ProxyConfig;
 use mallowring_standin::record::now;
 use mallowring_standin::{run, sleep};
-use scene::{ids, listed, Scene};
+use deployment::{ids, listed, Scene};
 use smol::io::AsyncWriteExt;
 use smol::net::TcpStream;
 
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -1,11 +1,11 @@
 //! Exchanges that stop without a sign while calls stand on them, met by the built program: issue 16.
 
-mod scene;
+mod deployment;
 
 use mallowring_standin::messages::{CallScript, SetUp};
 use mallowring_standin::record::{now, Observation};
 use mallowring_standin::{run, sleep};
-use scene::{ids, Scene};
+use deployment::{ids, Scene};
 
 /// From the end of a call until its caller is told, with the protocol page's slack ('The rules on sockets').
 const RELEASE_WITHOUT_SIGN: f64 = 8.05;
