--- a/tests/deployment/mod.rs
+++ b/tests/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A scene for tests on the built program: one proxy, discovery, and exchanges numbered from 1.
+//! A deployment for tests of the built program: one proxy, discovery, and exchanges numbered from 1.
 #![allow(dead_code)]
 
 use std::path::Path;
@@ -11,8 +11,8 @@
 use mallowring_standin::record::{now, Observation, Record};
 use mallowring_standin::{sleep, Executor};
 
-/// Everything around the one proxy.
-pub struct Scene {
+/// The proxy and the stand-ins around it.
+pub struct Deployment {
     pub tasks: Executor,
     pub record: Record,
     pub discovery: Discovery,
@@ -20,8 +20,8 @@
     pub proxy: Proxy,
 }
 
-/// An exchange's line on the list.
-pub fn listed(exchange: &Exchange, lifecycle: Lifecycle) -> RosterEntry {
+/// The roster entry of an exchange.
+pub fn roster_entry(exchange: &Exchange, lifecycle: Lifecycle) -> RosterEntry {
     RosterEntry {
         id: exchange.name().to_owned(),
         number: exchange.number(),
@@ -31,46 +31,50 @@
     }
 }
 
-/// Ids of calls, 16 hex digits each.
-pub fn ids(group: u64, n: u64) -> Vec<String> {
+/// Call ids of 16 hex digits each.
+pub fn call_ids(group: u64, n: u64) -> Vec<String> {
     (0..n).map(|ix| format!("{group:08x}{ix:08x}")).collect()
 }
 
-impl Scene {
-    /// So many exchanges, and a proxy without tight limits.
-    pub async fn start(tasks: Executor, exchanges: i64) -> Scene {
-        Scene::with(tasks, exchanges, ProxyConfig::new("n0", 0, 2)).await
+impl Deployment {
+    /// Starts the exchanges and a proxy with generous limits.
+    pub async fn start(tasks: Executor, exchanges: i64) -> Deployment {
+        Deployment::with_config(tasks, exchanges, ProxyConfig::new("n0", 0, 2)).await
     }
 
-    /// So many exchanges, and a proxy of this setup that is ready.
-    pub async fn with(tasks: Executor, exchanges: i64, setup: ProxyConfig) -> Scene {
+    /// Starts the exchanges and a proxy with this configuration, and waits until it is ready.
+    pub async fn with_config(tasks: Executor, exchanges: i64, config: ProxyConfig) -> Deployment {
         let record = Record::default();
-        let start =
-            |number| Exchange::start(&tasks, &record, &format!("s-{number}"), number, 1).expect("sockets");
+        let start = |number| {
+            Exchange::start(&tasks, &record, &format!("s-{number}"), number, 1)
+                .expect("the exchange binds its socket")
+        };
         let exchanges: Vec<Exchange> = (1..=exchanges).map(start).collect();
-        let whole: Vec<RosterEntry> = exchanges.iter().map(|e| listed(e, Lifecycle::Ready)).collect();
-        let discovery = Discovery::start(&tasks, &record, 0, &whole).expect("a socket");
+        let entries: Vec<RosterEntry> = exchanges.iter().map(|e| roster_entry(e, Lifecycle::Ready)).collect();
+        let discovery = Discovery::start(&tasks, &record, 0, &entries).expect("discovery binds its socket");
         let program = Path::new(env!("CARGO_BIN_EXE_mallowring"));
-        let proxy = Proxy::start(program, &setup, &discovery).expect("it starts");
+        let proxy = Proxy::start(program, &config, &discovery).expect("the proxy starts");
         assert!(proxy.is_ready_within(20.0).await, "{}", proxy.log());
-        Scene { tasks, record, discovery, exchanges, proxy }
+        Deployment { tasks, record, discovery, exchanges, proxy }
     }
 
-    /// One more connection of a caller's.
+    /// Connects another caller.
     pub async fn caller(&self, name: &str) -> Caller {
-        Caller::connect(&self.tasks, &self.record, name, 0, self.proxy.listen).await.expect("it accepts")
+        Caller::connect(&self.tasks, &self.record, name, 0, self.proxy.listen)
+            .await
+            .expect("the proxy accepts the connection")
     }
 
-    /// Asks for a call without waiting.
-    pub async fn ask(&self, caller: &Caller, destination: i64, call: &str, hold_ms: u64) {
+    /// Sends a set-up without waiting for the answer.
+    pub async fn send_set_up(&self, caller: &Caller, destination: i64, call: &str, hold_ms: u64) {
         let number = CallScript { answer_ms: 5, hold_ms }.called_number();
         let set_up = SetUp { call_id: call.to_owned(), number, deadline_ms: 2500, destination };
-        caller.send_set_up(&set_up).await.expect("it is sent");
+        caller.send_set_up(&set_up).await.expect("the set-up is sent");
     }
 
-    /// Waits until a call has its final answer or a time is over; returns whether it stands.
-    pub async fn stands_by(&self, call: &str, until: f64) -> bool {
-        while self.answered(call).is_none() && now() < until {
+    /// Waits until a call has its final answer, or the deadline; returns whether it is established.
+    pub async fn established_by(&self, call: &str, deadline: f64) -> bool {
+        while self.answered_at(call).is_none() && now() < deadline {
             sleep(0.005).await;
         }
         self.record
@@ -78,30 +82,35 @@
             .is_some()
     }
 
-    /// Sets calls up to an exchange, one after another, and waits until all stand.
-    pub async fn stand(&self, caller: &Caller, destination: i64, calls: &[String], hold_ms: u64) {
+    /// Sets calls up to an exchange, one after another, and waits until all are established.
+    pub async fn establish(&self, caller: &Caller, destination: i64, calls: &[String], hold_ms: u64) {
         for call in calls {
-            self.ask(caller, destination, call, hold_ms).await;
-            assert!(self.stands_by(call, now() + 3.0).await, "{call} stands\n{}", self.proxy.log());
+            self.send_set_up(caller, destination, call, hold_ms).await;
+            assert!(
+                self.established_by(call, now() + 3.0).await,
+                "{call} is not established\n{}",
+                self.proxy.log()
+            );
         }
     }
 
-    /// When a call had its final answer.
-    pub fn answered(&self, call: &str) -> Option<f64> {
+    /// When a call got its final answer.
+    pub fn answered_at(&self, call: &str) -> Option<f64> {
         self.record.first_seen(call, |observation| matches!(observation, Observation::Answered { .. }))
     }
 
     /// When a call was released to its caller.
-    pub fn released(&self, call: &str) -> Option<f64> {
+    pub fn released_at(&self, call: &str) -> Option<f64> {
         self.record.first_seen(call, |observation| matches!(observation, Observation::ReleaseReceived(_)))
     }
 
-    /// Waits until all calls are released to their callers or the time is over; returns those that are not.
-    pub async fn not_released_by(&self, calls: &[String], until: f64) -> Vec<String> {
+    /// Waits until all calls are released to their callers, or the deadline; returns those that are not.
+    pub async fn unreleased_by(&self, calls: &[String], deadline: f64) -> Vec<String> {
         loop {
-            let open: Vec<_> = calls.iter().filter(|call| self.released(call).is_none()).cloned().collect();
-            if open.is_empty() || now() >= until {
-                return open;
+            let unreleased: Vec<_> =
+                calls.iter().filter(|call| self.released_at(call).is_none()).cloned().collect();
+            if unreleased.is_empty() || now() >= deadline {
+                return unreleased;
             }
             sleep(0.01).await;
         }
--- a/tests/platform_loopback.rs
+++ b/tests/platform_loopback.rs
@@ -1,4 +1,4 @@
-//! The platform's front on loopback sockets, with stand-ins for callers, one exchange and the bulletin.
+//! The platform front on loopback sockets, with stand-ins for callers, one exchange and discovery.
 
 mod standin;
 
@@ -24,15 +24,15 @@
     listener.local_addr().expect("an address")
 }
 
-/// The stand-in exchange's end of all connections that the proxy keeps to it.
+/// A stand-in exchange: its end of all connections that the proxy keeps to it.
 struct StandInExchange {
     streams: Vec<TcpStream>,
     received: Receiver<(usize, Option<Message>)>,
-    /// Where it heard last, and so where it speaks.
+    /// The connection on which it received the last message, and on which it sends.
     last_connection: usize,
 }
 
-/// The connections of the proxy's to a stand-in.
+/// Accepts the connections of the proxy to the stand-in exchange.
 fn accept_connections(listener: &TcpListener) -> StandInExchange {
     let (sender, received) = channel();
     let accept = |ix| {
@@ -111,7 +111,7 @@
 }
 
 impl Fixture {
-    /// A proxy of exchange 0 that knows exchange 1.
+    /// Starts a proxy of exchange 0 that knows exchange 1.
     fn start() -> Fixture {
         let (exchange_listener, discovery) = (listener(), listener());
         let class = json!({"name": "voice", "target": 2.0, "give_up": 9.0, "worth": 1.0});
@@ -133,7 +133,7 @@
         Fixture { proxy, shutdown, thread, exchange_listener, discovery, reload, config, path }
     }
 
-    /// Puts a file in the place of the configuration's and has it read.
+    /// Replaces the configuration file and makes the proxy reload it.
     fn reload(&self, text: &str) {
         std::fs::write(&self.path, text).expect("a file");
         self.reload.try_send(()).expect("it runs");
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The connection to the exchange, once the state of its group is told.
+    /// The stand-in exchange, connected; it has sent the state of its trunk group, and the proxy is ready.
     fn ready_exchange(&self) -> StandInExchange {
         let mut exchange = accept_connections(&self.exchange_listener);
         exchange.send_message(&state_notification());
@@ -157,7 +157,7 @@
         SipSocket::connect(self.proxy, Transport::Tcp)
     }
 
-    /// Tells the program to end and waits for it.
+    /// Shuts the proxy down and waits for its end.
     fn shut_down(mut self) {
         self.shutdown.try_send(()).expect("it runs");
         self.wait_for_exit();
@@ -176,7 +176,7 @@
         .with("X-Gauges", "idle:12;circuits:40;reduce:-1;avg_ms:-1")
 }
 
-/// The id on the wire of a call that a test names: 16 hex digits, by FNV-1a.
+/// The Call-ID for the name of a call in a test: 16 hex digits, computed with FNV-1a.
 fn id_of(name: &str) -> String {
     let hash = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     format!("{:016x}", name.bytes().fold(0xcbf2_9ce4_8422_2325, hash))
@@ -212,7 +212,7 @@
         assert!(self.send(&message.bytes()), "it could not be sent");
     }
 
-    /// The next message, which is a request of this method or a response of this code.
+    /// Receives a message, which must be a request with this method or a response with this status.
     fn expect_message(&mut self, expected: &str) -> Message {
         let message = self.receive().expect("a message");
         assert_eq!(method_or_status(&message), expected, "{message:?}");
@@ -226,7 +226,7 @@
         self.receive().expect("an answer").status()
     }
 
-    /// Sets a call of this caller's up at an exchange.
+    /// Sets a call of this caller up, which the exchange answers.
     fn set_up_call(&mut self, exchange: &mut StandInExchange, id: &str) {
         self.send_message(&invite(id));
         let mut success = Message::response(200, "OK", &exchange.expect_message("INVITE").headers);
@@ -269,8 +269,8 @@
     fixture.shut_down();
 }
 
-/// Guards against an attempt matched by the number in CSeq: exchanges do not repeat ours, so that the answer to
-/// every second attempt was released and its call timed out (19 of 19 on the calm day of seed 3).
+/// Guards against matching an attempt by the number in CSeq. Exchanges do not repeat the proxy's number, so that the
+/// answer to every second attempt was released and its call timed out (19 of 19 on the calm day of seed 3).
 #[test]
 fn a_second_attempt_is_matched_by_call_id_alone() {
     let fixture = Fixture::start();
@@ -291,7 +291,8 @@
     fixture.shut_down();
 }
 
-/// Guards rule one: a release may come on any connection, and twice; the caller may have changed its own.
+/// Guards the delivery of releases: a release may arrive on any connection and twice, and the caller may have
+/// connected anew since its set-up.
 #[test]
 fn a_release_reaches_its_caller_on_any_open_connection() {
     let fixture = Fixture::start();
@@ -303,7 +304,7 @@
     exchange.expect_message("200");
     exchange.send_message(&bye("a", 16));
     exchange.expect_message("200");
-    // No connection was open: the next one to bring a call gets it, once, and not one that says nothing.
+    // No connection was open: the next connection with a set-up gets the release once; a silent connection does not.
     let _silent = fixture.caller();
     let mut caller = fixture.caller();
     caller.send_message(&invite("c"));
@@ -317,7 +318,7 @@
     );
     caller.expect_message("200");
     assert_eq!(caller.send_options(), Some(200));
-    // The caller's own release, on another connection than its set-up's.
+    // The caller releases its call on another connection than that of the set-up.
     caller.set_up_call(&mut exchange, "b");
     let mut other = fixture.caller();
     other.send_message(&bye("b", 16));
@@ -328,8 +329,8 @@
     fixture.shut_down();
 }
 
-/// Guards rule one when a process dies: its connection is reset and no new one comes up, so its standing calls
-/// are released to their callers as cut, and its set-ups end.
+/// Guards releases when an exchange process dies: its connections are reset and new ones are refused. Its established
+/// calls are released to their callers with cause 41, and its pending set-ups end.
 #[test]
 fn the_calls_of_a_dead_exchange_are_released_to_their_callers() {
     let mut fixture = Fixture::start();
@@ -347,8 +348,8 @@
     fixture.shut_down();
 }
 
-/// Guards against a machine that vanishes: it leaves its connection open and silent, and only the list tells that
-/// its process started anew. What stood before is cut, and a new connection is made.
+/// Guards against a machine that vanishes: its connections stay open and silent, and only the roster reports that its
+/// process started anew. Earlier calls are released, and new connections are opened.
 #[test]
 fn a_restart_reported_only_by_the_roster_releases_earlier_calls() {
     let fixture = Fixture::start();
@@ -357,7 +358,7 @@
     caller.set_up_call(&mut silent, "old");
     let mut started = roster_event(4, false, "ready", addr_of(&fixture.exchange_listener));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
-    // The list counts whole milliseconds: the next one is surely behind the set-up.
+    // The roster counts whole milliseconds: the next one is certainly after the set-up.
     started["roster"]["instances"][0]["startedAtMs"] = json!(now as u64 + 1);
     let mut stream = fixture.discovery.accept().expect("the proxy connects").0;
     writeln!(stream, "{started}").expect("it is sent");
@@ -374,8 +375,8 @@
     fixture.shut_down();
 }
 
-/// Guards rule one at the other end: what a caller no longer wants is called off, and an answer that crosses is
-/// released, not left standing.
+/// Guards exchanges against abandoned calls: a set-up that the caller no longer wants is cancelled, and an answer
+/// that crosses the CANCEL is released.
 #[test]
 fn set_ups_of_a_caller_that_leaves_are_cancelled() {
     let fixture = Fixture::start();
@@ -398,7 +399,7 @@
     fixture.shut_down();
 }
 
-/// Sets calls up and ends them until one is refused; an exchange answers each that goes out.
+/// Sets calls up and releases them until one is refused. The exchange answers each set-up.
 fn call_until_refused(caller: &mut SipSocket, mut exchange: StandInExchange) {
     thread::spawn(move || {
         while let Some(message) = exchange.receive() {
@@ -418,7 +419,7 @@
     }
 }
 
-/// What the proxy asks a bulletin.
+/// Accepts the connection of the proxy to discovery and reads its request for missed events.
 fn read_resume_request(discovery: &TcpListener) -> (TcpStream, String) {
     let stream = discovery.accept().expect("the proxy connects").0;
     let mut line = String::new();
@@ -426,8 +427,9 @@
     (stream, line)
 }
 
-/// Guards against SIGHUP: it ended the program, and on the days with new configurations that was a crash. A bad
-/// file changes nothing; a good one names the bulletin to follow from the last event on, and calls go on.
+/// Guards against SIGHUP ending the program, which was a crash at every new configuration. An invalid file changes
+/// nothing. With a valid one the proxy follows discovery at the new address from the last event on, and keeps its
+/// calls.
 #[test]
 fn reloading_the_configuration_changes_discovery_and_keeps_calls() {
     let mut fixture = Fixture::start();
@@ -451,8 +453,8 @@
     fixture.shut_down();
 }
 
-/// Guards against spoilt answers: one that could not be read was dropped and its connection kept, though nothing that
-/// follows on it can be trusted; then everything there timed out. It ends the set-ups of its own connection alone.
+/// Guards against malformed answers. One was dropped and its connection kept, though the rest of the stream can't be
+/// trusted, and every set-up there timed out. It must end the set-ups of its own connection only.
 #[test]
 fn a_malformed_answer_ends_only_its_own_connection() {
     let fixture = Fixture::start();
@@ -468,12 +470,12 @@
     exchange.streams[exchange.last_connection]
         .write_all(b"SIP/2.0 2x0 OK\r\nCall-ID: ?\r\nContent-Length: 0\r\n\r\n")
         .expect("sent");
-    // It is closed, and what may have run there is released elsewhere.
+    // The connection is closed, and its set-up is released on another one, as it may have been established.
     let seen = [exchange.receive(), exchange.receive()];
     assert!(seen.iter().any(Option::is_none), "{seen:?}");
     let release = seen.iter().flatten().next().expect("a release");
     assert_eq!((release.method(), release.get("Call-ID")), (Some("BYE"), Some(id_of("a").as_str())));
-    // The other is answered on its own connection; a second copy and an unknown id mean nothing.
+    // The other set-up is answered on its own connection. A duplicate and an answer with an unknown id are ignored.
     exchange.last_connection = sent[1].1;
     let success = Message::response(200, "OK", &sent[1].0.headers);
     exchange.send_message(&Message::response(200, "OK", &invite("stranger").headers));
@@ -481,7 +483,7 @@
     exchange.send_message(&success);
     assert_eq!(exchange.expect_message("ACK").get("Call-ID"), Some(id_of("b").as_str()));
     assert_eq!(caller.expect_message("200").get("Call-ID"), Some(id_of("b").as_str()));
-    // The first is tried again after the pause.
+    // The first set-up is attempted again after the pause.
     let again = exchange.expect_message("INVITE");
     assert_eq!(again.get("Call-ID"), Some(id_of("a").as_str()));
     exchange.send_message(&Message::response(200, "OK", &again.headers));
@@ -495,9 +497,10 @@
     fixture.shut_down();
 }
 
-/// Guards against a connection that stays open and brings nothing more: set-ups went on to it, each ran its time out,
-/// and the module held the exchange for silent. What later set-ups elsewhere overtake is lost, and is tried again. A
-/// release that crosses the close of the connection was thrown away, and its caller was not told.
+/// Guards against a connection that stays open and delivers nothing more: set-ups were still sent on it, each timed
+/// out, and the decision module took the exchange for silent. A set-up overtaken by later ones on other connections
+/// is lost and is attempted again. A release that crosses the close of the connection was dropped, and its caller not
+/// informed.
 #[test]
 fn a_connection_that_withholds_an_answer_is_closed() {
     let fixture = Fixture::start();
@@ -534,12 +537,12 @@
             break;
         }
     }
-    assert!(closed, "it was tried again, as its connection was closed");
+    assert!(closed, "the set-up was attempted again without its connection being closed");
     fixture.shut_down();
 }
 
-/// Guards against beliefs about the wrong process: an exchange that drains and has stopped is not connected to again,
-/// as a new one may listen at its address. Its calls are released at once.
+/// Guards against connecting to the wrong process: a draining exchange that has stopped is not connected again, as a
+/// new exchange may listen at its address. Its calls are released at once.
 #[test]
 fn a_drained_exchange_that_stopped_is_not_reconnected() {
     let fixture = Fixture::start();
@@ -550,7 +553,7 @@
     writeln!(discovery, "{}", roster_event(4, false, "draining", addr_of(&fixture.exchange_listener)))
         .expect("it is sent");
     let ends: Vec<_> = exchange.streams.iter().map(|stream| stream.try_clone().expect("a handle")).collect();
-    // It is told once a call for it is refused.
+    // A refused call shows that the proxy has read the roster event.
     call_until_refused(&mut caller, exchange);
     for end in ends {
         end.shutdown(std::net::Shutdown::Both).expect("it is open");
@@ -560,7 +563,7 @@
         (release.get("Call-ID"), release.get("Reason")),
         (Some(id_of("a").as_str()), Some("Q.850;cause=41"))
     );
-    // The next connection here is that of the list's next exchange.
+    // The next connection here belongs to the next exchange on the roster.
     let mut new = roster_event(5, false, "ready", addr_of(&fixture.exchange_listener));
     new["roster"]["instances"][0]["instanceId"] = json!("s-new");
     writeln!(discovery, "{new}").expect("it is sent");
@@ -574,8 +577,8 @@
     fixture.shut_down();
 }
 
-/// Guards against a list that stops: silence on the bulletin's connection ends it, and the next one asks for
-/// what came since.
+/// Guards against a roster that is no longer updated: a silent connection to discovery is closed, and the next one
+/// requests the events since.
 #[test]
 fn a_silent_discovery_connection_is_replaced_and_drains_are_kept() {
     let fixture = Fixture::start();
@@ -621,15 +624,15 @@
     );
     caller.expect_message("400");
     assert_eq!(caller.send_options(), Some(200));
-    // Where the bounds are lost the connection is closed, and only that one.
+    // Where the end of a message is unknown, that connection is closed, and no other.
     assert!(caller.send(b"INVITE sip:a@net SIP/2.0\r\nCall-ID: c\r\n\r\n"));
     assert!(caller.receive().is_none());
     assert_eq!(fixture.caller().send_options(), Some(200));
     fixture.shut_down();
 }
 
-/// Guards the usual callers against bad ones. The set-up of a caller was hijacked by another connection that sent the
-/// same id, which was then answered 'served'; a CANCEL from anywhere took it back.
+/// Guards callers against others that use their call ids. Another connection that sent the same id took over a set-up
+/// and got its 200 response, and a CANCEL from any connection cancelled it.
 #[test]
 fn the_id_of_a_pending_call_can_not_be_used_by_another_caller() {
     let fixture = Fixture::start();
@@ -652,7 +655,7 @@
     caller.expect_message("200");
     caller.send_message(&bye("a", 16));
     caller.expect_message("200");
-    // Two set-ups of one id on one connection: both go, and nothing is served.
+    // Two set-ups with one id on one connection: the connection is closed, and neither is answered.
     other_caller.send_message(&invite("b"));
     exchange.expect_message("BYE");
     exchange.expect_message("INVITE");
@@ -662,8 +665,8 @@
     fixture.shut_down();
 }
 
-/// Guards descriptors and bad clients' due: what never brings a whole message, brings one without an id, or a body
-/// of any length is closed, and a usual caller is served meanwhile.
+/// Guards the descriptors: a connection is closed if it never sends a complete message, or sends one without an id or
+/// with a body that is too long. Another caller is served meanwhile.
 #[test]
 fn connections_that_can_not_be_answered_are_closed() {
     let fixture = Fixture::start();
@@ -690,7 +693,8 @@
     fixture.shut_down();
 }
 
-/// Guards planned restarts: a program that is to end serves what still comes, until its last call is over.
+/// Guards planned restarts: after a shutdown request the program serves further set-ups until its last call has
+/// ended.
 #[test]
 fn a_shutdown_serves_until_all_calls_have_ended() {
     let mut fixture = Fixture::start();
@@ -708,7 +712,7 @@
     fixture.wait_for_exit();
 }
 
-/// The program itself: SIGHUP does not end it, SIGTERM ends it well once nothing is left.
+/// The built program: SIGHUP does not end it, and SIGTERM ends it with success once no call is left.
 #[test]
 fn sigterm_shuts_the_program_down_cleanly() {
     let service = service_on_free_ports();
--- a/tests/silent_exchange.rs
+++ b/tests/silent_exchange.rs
@@ -1,173 +1,180 @@
-//! Exchanges that stop without a sign while calls stand on them, met by the built program: issue 16.
+//! The built program with exchanges that fail silently while calls are established on them (issue 16).
 
 mod deployment;
 
+use deployment::{call_ids, Deployment};
 use mallowring_standin::messages::{CallScript, SetUp};
 use mallowring_standin::record::{now, Observation};
 use mallowring_standin::{run, sleep};
-use deployment::{ids, Scene};
 
-/// From the end of a call until its caller is told, with the protocol page's slack ('The rules on sockets').
-const RELEASE_WITHOUT_SIGN: f64 = 8.05;
-/// So long that no call ends by itself.
-const FOREVER_MS: u64 = 60_000;
+/// Limit in seconds from the end of a call to the release to its caller, including the slack of the protocol page
+/// ('The rules on sockets').
+const RELEASE_LIMIT_S: f64 = 8.05;
+/// A holding time so long that no call ends by itself.
+const LONG_HOLD_MS: u64 = 60_000;
 
-/// Guards against the incident: an exchange that vanishes breaks no connection, and with discovery down nothing else
-/// told of it, so that its calls stayed on the books. Seen: 75 callers told later than 8 s after.
+/// Guards against calls that are never released: an exchange that vanishes closes no connection, and while discovery
+/// is down nothing else reports it. In the incident 75 callers got their release later than 8 s.
 #[test]
 fn calls_on_a_vanished_exchange_are_released_in_time_while_discovery_is_down() {
     run(async |tasks| {
-        let scene = Scene::start(tasks, 2).await;
-        let caller = scene.caller("c").await;
-        let (lost, kept) = (ids(1, 8), ids(2, 4));
-        scene.stand(&caller, 1, &lost, FOREVER_MS).await;
-        scene.stand(&caller, 2, &kept, FOREVER_MS).await;
-        scene.discovery.go_down();
+        let deployment = Deployment::start(tasks, 2).await;
+        let caller = deployment.caller("c").await;
+        let (vanished_calls, other_calls) = (call_ids(1, 8), call_ids(2, 4));
+        deployment.establish(&caller, 1, &vanished_calls, LONG_HOLD_MS).await;
+        deployment.establish(&caller, 2, &other_calls, LONG_HOLD_MS).await;
+        deployment.discovery.go_down();
         sleep(0.5).await;
-        scene.exchanges[0].vanish();
-        let late = scene.not_released_by(&lost, now() + RELEASE_WITHOUT_SIGN).await;
-        assert!(late.is_empty(), "not released within 8 s: {late:?}\n{}", scene.proxy.log());
+        deployment.exchanges[0].vanish();
+        let unreleased = deployment.unreleased_by(&vanished_calls, now() + RELEASE_LIMIT_S).await;
+        assert!(unreleased.is_empty(), "not released within 8 s: {unreleased:?}\n{}", deployment.proxy.log());
         assert!(
-            kept.iter().all(|call| scene.released(call).is_none()),
-            "calls of another exchange go on\n{}",
-            scene.proxy.log()
+            other_calls.iter().all(|call| deployment.released_at(call).is_none()),
+            "calls of another exchange were released\n{}",
+            deployment.proxy.log()
         );
     });
 }
 
-/// Guards against the same with a process that hangs: connections come up, so that only what they bring counts.
+/// Guards against the same fault with a process that hangs. New connections to it still succeed, so that only
+/// received messages prove that it is alive.
 #[test]
 fn calls_on_a_hung_exchange_are_released_in_time() {
     run(async |tasks| {
-        let scene = Scene::start(tasks, 1).await;
-        let caller = scene.caller("c").await;
-        let calls = ids(1, 3);
-        scene.stand(&caller, 1, &calls, FOREVER_MS).await;
-        scene.exchanges[0].hang();
-        let late = scene.not_released_by(&calls, now() + RELEASE_WITHOUT_SIGN).await;
-        assert!(late.is_empty(), "not released within 8 s: {late:?}\n{}", scene.proxy.log());
-        // It comes back with them: it is told that they are over.
-        scene.exchanges[0].resume();
-        let until = now() + 3.0;
-        while scene.exchanges[0].established_calls() > 0 && now() < until {
+        let deployment = Deployment::start(tasks, 1).await;
+        let caller = deployment.caller("c").await;
+        let calls = call_ids(1, 3);
+        deployment.establish(&caller, 1, &calls, LONG_HOLD_MS).await;
+        deployment.exchanges[0].hang();
+        let unreleased = deployment.unreleased_by(&calls, now() + RELEASE_LIMIT_S).await;
+        assert!(unreleased.is_empty(), "not released within 8 s: {unreleased:?}\n{}", deployment.proxy.log());
+        // When it resumes with these calls, the proxy releases them there.
+        deployment.exchanges[0].resume();
+        let deadline = now() + 3.0;
+        while deployment.exchanges[0].established_calls() > 0 && now() < deadline {
             sleep(0.01).await;
         }
-        assert_eq!(scene.exchanges[0].established_calls(), 0, "{}", scene.proxy.log());
+        assert_eq!(deployment.exchanges[0].established_calls(), 0, "{}", deployment.proxy.log());
     });
 }
 
-/// Guards against a connection that comes up being taken for proof of the calls: another process listens at the
-/// address of the one that vanished, and discovery is down.
+/// Guards against a successful connection being taken as proof that calls are established: another process listens at
+/// the address of the one that vanished, and discovery is down.
 #[test]
 fn calls_of_a_process_that_was_replaced_at_its_address_are_released_in_time() {
     run(async |tasks| {
-        let scene = Scene::start(tasks, 1).await;
-        let caller = scene.caller("c").await;
-        let calls = ids(1, 3);
-        scene.stand(&caller, 1, &calls, FOREVER_MS).await;
-        scene.discovery.go_down();
+        let deployment = Deployment::start(tasks, 1).await;
+        let caller = deployment.caller("c").await;
+        let calls = call_ids(1, 3);
+        deployment.establish(&caller, 1, &calls, LONG_HOLD_MS).await;
+        deployment.discovery.go_down();
         let ended = now();
-        scene.exchanges[0].vanish();
+        deployment.exchanges[0].vanish();
         sleep(1.0).await;
-        scene.exchanges[0].replace().await.expect("its address is free");
-        let late = scene.not_released_by(&calls, ended + RELEASE_WITHOUT_SIGN).await;
-        assert!(late.is_empty(), "not released within 8 s: {late:?}\n{}", scene.proxy.log());
+        deployment.exchanges[0].replace().await.expect("the address is free");
+        let unreleased = deployment.unreleased_by(&calls, ended + RELEASE_LIMIT_S).await;
+        assert!(unreleased.is_empty(), "not released within 8 s: {unreleased:?}\n{}", deployment.proxy.log());
     });
 }
 
-/// Guards against the same after a reset: the next connection came up at once and took the suspicion of death back.
+/// Guards against the same fault after a reset: the next connection succeeded at once, and the proxy took the
+/// exchange for alive.
 #[test]
 fn calls_of_a_process_that_died_and_was_replaced_at_once_are_released_in_time() {
     run(async |tasks| {
-        let scene = Scene::start(tasks, 1).await;
-        let caller = scene.caller("c").await;
-        let calls = ids(1, 3);
-        scene.stand(&caller, 1, &calls, FOREVER_MS).await;
-        scene.discovery.go_down();
+        let deployment = Deployment::start(tasks, 1).await;
+        let caller = deployment.caller("c").await;
+        let calls = call_ids(1, 3);
+        deployment.establish(&caller, 1, &calls, LONG_HOLD_MS).await;
+        deployment.discovery.go_down();
         let ended = now();
-        scene.exchanges[0].restart_at_once();
-        let late = scene.not_released_by(&calls, ended + RELEASE_WITHOUT_SIGN).await;
-        assert!(late.is_empty(), "not released within 8 s: {late:?}\n{}", scene.proxy.log());
+        deployment.exchanges[0].restart_at_once();
+        let unreleased = deployment.unreleased_by(&calls, ended + RELEASE_LIMIT_S).await;
+        assert!(unreleased.is_empty(), "not released within 8 s: {unreleased:?}\n{}", deployment.proxy.log());
     });
 }
 
-/// Guards the detector against its own zeal: an exchange that has nothing to say for long is alive, and a caller that
-/// waits on its only connection keeps it. The connection was closed after 5 s, and the release had nowhere to go.
+/// Guards against false alarms: an exchange without messages for long is alive, and a caller's only connection stays
+/// open during its call. That connection was closed after 5 s, so that the release could not be delivered.
 #[test]
-fn a_quiet_call_stands_to_its_end_and_its_release_finds_its_caller() {
+fn a_quiet_call_lasts_to_its_end_and_its_release_reaches_the_caller() {
     run(async |tasks| {
-        let scene = Scene::start(tasks, 1).await;
-        let caller = scene.caller("c").await;
-        let calls = ids(1, 1);
-        scene.stand(&caller, 1, &calls, 12_000).await;
+        let deployment = Deployment::start(tasks, 1).await;
+        let caller = deployment.caller("c").await;
+        let calls = call_ids(1, 1);
+        deployment.establish(&caller, 1, &calls, 12_000).await;
         let ended = |observation: &Observation| *observation == Observation::CallEnded;
-        let until = now() + 13.0;
-        while scene.record.first_seen(&calls[0], ended).is_none() && now() < until {
+        let deadline = now() + 13.0;
+        while deployment.record.first_seen(&calls[0], ended).is_none() && now() < deadline {
             sleep(0.01).await;
         }
-        let over = scene.record.first_seen(&calls[0], ended).expect("it ends");
+        let ended_at = deployment.record.first_seen(&calls[0], ended).expect("the call ends");
         sleep(1.05).await;
-        let told = scene.released(&calls[0]).unwrap_or(f64::INFINITY);
+        let released_at = deployment.released_at(&calls[0]).unwrap_or(f64::INFINITY);
         assert!(
-            (over..over + 1.05).contains(&told),
-            "told {:.2} s after\n{}",
-            told - over,
-            scene.proxy.log()
+            (ended_at..ended_at + 1.05).contains(&released_at),
+            "released {:.2} s after its end\n{}",
+            released_at - ended_at,
+            deployment.proxy.log()
         );
         assert!(caller.is_open().await);
-        assert!(scene.exchanges[0].connections(0) <= 4, "few connections");
+        assert!(deployment.exchanges[0].connections(0) <= 4, "too many connections to the exchange");
     });
 }
 
-/// Guards calls of an exchange that is cut off for less than the limit: it comes back with them.
+/// Guards the calls of an exchange that is unreachable for less than the limit and still holds them afterwards.
 #[test]
-fn calls_of_an_exchange_that_was_cut_off_for_a_while_go_on() {
+fn calls_survive_a_short_network_outage_of_their_exchange() {
     run(async |tasks| {
-        let scene = Scene::start(tasks, 1).await;
-        let caller = scene.caller("c").await;
-        let (short, long) = (ids(1, 2), ids(2, 2));
-        scene.stand(&caller, 1, &short, 2_000).await;
-        scene.stand(&caller, 1, &long, 9_000).await;
-        scene.exchanges[0].cut_off();
+        let deployment = Deployment::start(tasks, 1).await;
+        let caller = deployment.caller("c").await;
+        let (short, long) = (call_ids(1, 2), call_ids(2, 2));
+        deployment.establish(&caller, 1, &short, 2_000).await;
+        deployment.establish(&caller, 1, &long, 9_000).await;
+        deployment.exchanges[0].cut_off();
         sleep(5.0).await;
-        scene.exchanges[0].resume();
-        let late = scene.not_released_by(&short, now() + 1.5).await;
-        assert!(late.is_empty(), "their releases waited and are passed on: {late:?}\n{}", scene.proxy.log());
-        assert!(long.iter().all(|call| scene.released(call).is_none()), "{}", scene.proxy.log());
-        let late = scene.not_released_by(&long, now() + 5.0).await;
-        assert!(late.is_empty(), "{late:?}\n{}", scene.proxy.log());
+        deployment.exchanges[0].resume();
+        let unreleased = deployment.unreleased_by(&short, now() + 1.5).await;
+        assert!(
+            unreleased.is_empty(),
+            "delayed releases were not forwarded: {unreleased:?}\n{}",
+            deployment.proxy.log()
+        );
+        assert!(long.iter().all(|call| deployment.released_at(call).is_none()), "{}", deployment.proxy.log());
+        let unreleased = deployment.unreleased_by(&long, now() + 5.0).await;
+        assert!(unreleased.is_empty(), "{unreleased:?}\n{}", deployment.proxy.log());
     });
 }
 
-/// Guards a drain's end: new set-ups are refused at once, the release of a call that stands is still passed on to its
-/// connection, and the program ends when nothing is left.
+/// Guards the end of a shutdown: new set-ups are refused at once, the release of an established call is still
+/// forwarded on its connection, and the program ends when no call is left.
 #[test]
-fn a_proxy_that_is_told_to_end_refuses_what_is_new_and_passes_on_what_ends() {
+fn a_proxy_that_shuts_down_refuses_new_calls_and_forwards_releases() {
     run(async |tasks| {
-        let mut scene = Scene::start(tasks, 1).await;
-        let caller = scene.caller("c").await;
-        let calls = ids(1, 1);
-        scene.stand(&caller, 1, &calls, 3_000).await;
-        let idle = scene.caller("idle").await;
-        scene.proxy.signal(rustix::process::Signal::TERM);
+        let mut deployment = Deployment::start(tasks, 1).await;
+        let caller = deployment.caller("c").await;
+        let calls = call_ids(1, 1);
+        deployment.establish(&caller, 1, &calls, 3_000).await;
+        let idle = deployment.caller("idle").await;
+        deployment.proxy.signal(rustix::process::Signal::TERM);
         sleep(1.1).await;
-        assert!(!idle.is_open().await, "nothing was on it");
-        assert!(caller.is_open().await, "a call stands on it");
-        let late = SetUp {
+        assert!(!idle.is_open().await, "an idle connection stayed open");
+        assert!(caller.is_open().await, "a connection with an established call was closed");
+        let late_set_up = SetUp {
             call_id: "00000009".repeat(2),
             number: CallScript { answer_ms: 5, hold_ms: 100 }.called_number(),
             deadline_ms: 2500,
             destination: 1,
         };
-        caller.send_set_up(&late).await.expect("it is sent");
+        caller.send_set_up(&late_set_up).await.expect("it is sent");
         sleep(0.2).await;
-        assert!(scene
+        assert!(deployment
             .record
-            .first_seen(&late.call_id, |w| matches!(w, Observation::Answered { status: 503, .. }))
+            .first_seen(&late_set_up.call_id, |w| matches!(w, Observation::Answered { status: 503, .. }))
             .is_some());
-        let open = scene.not_released_by(&calls, now() + 3.0).await;
-        assert!(open.is_empty(), "{}", scene.proxy.log());
-        let status = scene.proxy.wait_for_exit(2.0).await;
-        assert!(status.is_some_and(|s| s.success()), "{}", scene.proxy.log());
+        let open = deployment.unreleased_by(&calls, now() + 3.0).await;
+        assert!(open.is_empty(), "{}", deployment.proxy.log());
+        let status = deployment.proxy.wait_for_exit(2.0).await;
+        assert!(status.is_some_and(|s| s.success()), "{}", deployment.proxy.log());
     });
 }
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in SIP callers and an exchange on blocking loopback sockets.
+//! Stand-ins for SIP callers and a SIP exchange, on blocking loopback sockets.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -14,21 +14,22 @@
 use mallowring::sip::header::{self, Transport};
 use mallowring::sip::message::{Framer, Message, Start, MOST};
 
-/// So long that only a failure meets it.
+/// Read timeout that only a failed test reaches.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// A number that is unique in this process.
 fn next_number() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// Gives a header another value.
+/// Replaces the value of a header.
 pub fn set_header(message: &mut Message, name: &str, value: &str) {
     message.headers.retain(|(n, _)| n != name);
     message.headers.push((name.to_owned(), value.to_owned()));
 }
 
-/// A proxy of the repository's service file on free ports, in a thread of its own; dropped, it drains and ends.
+/// A proxy with the repository's service file on free ports, in a thread of its own. It is shut down when dropped.
 pub struct Proxy {
     pub addr: SocketAddr,
     pub http: Option<SocketAddr>,
@@ -38,7 +39,7 @@
 }
 
 impl Proxy {
-    /// With these exchanges in place of the file's, and more sections.
+    /// Starts it with these exchanges in place of those of the file, and with additional sections.
     pub fn start(exchanges: &str, more_sections: &str) -> Proxy {
         let text = std::fs::read_to_string("deploy/service.toml").expect("the service file");
         let (head, rest) = text.split_once("[[sip.exchanges]]").expect("an exchange");
@@ -68,7 +69,7 @@
     }
 }
 
-/// One way that messages travel.
+/// A socket to the proxy that sends and receives SIP messages.
 pub enum SipSocket {
     Udp(UdpSocket, SocketAddr),
     Tcp(TcpStream, Framer),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// A connection that is up.
+    /// Wraps an open connection.
     pub fn from_stream(stream: TcpStream) -> SipSocket {
         stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
         SipSocket::Tcp(stream, Framer::default())
@@ -127,14 +128,14 @@
     }
 }
 
-/// A caller.
+/// A stand-in caller.
 pub struct Caller {
     proxy: SocketAddr,
     socket: SipSocket,
     transport: Transport,
     call_id: String,
     tag: String,
-    /// What came while something else was waited for.
+    /// Messages received while waiting for another one.
     unread: Vec<Message>,
 }
 
@@ -145,7 +146,7 @@
         Caller { proxy, socket, transport, call_id, tag, unread: Vec::new() }
     }
 
-    /// The same caller on another way to the proxy.
+    /// The same caller on a new socket with another transport.
     pub fn over_transport(&self, transport: Transport) -> Caller {
         let mut other = Caller::new(self.proxy, transport);
         (other.call_id, other.tag) = (self.call_id.clone(), self.tag.clone());
@@ -171,14 +172,14 @@
             .with("Call-ID", &self.call_id)
             .with("CSeq", "1 INVITE")
             .with("Contact", self.contact())
-            // Urgent, so that no sample of the module's on a busy machine refuses it.
+            // Urgent, so that the decision module does not refuse it because of a slow test machine.
             .with("Priority", "emergency")
             .with("X-Deadline", deadline_ms);
         message.body = body.to_vec();
         message
     }
 
-    /// A request that belongs to the transaction of another one.
+    /// A request with the headers of an INVITE, such as its CANCEL.
     pub fn same_transaction(&self, invite: &Message, method: &str) -> Message {
         let mut message = invite.clone();
         message.body.clear();
@@ -189,14 +190,14 @@
         message.with("CSeq", format!("1 {method}"))
     }
 
-    /// The ACK of a refusal.
+    /// The ACK for a response that refuses the INVITE.
     pub fn ack(&self, invite: &Message, refusal: &Message) -> Message {
         let mut message = self.same_transaction(invite, "ACK");
         message.headers.retain(|(n, _)| n != "To");
         message.with("To", refusal.get("To").expect("a To"))
     }
 
-    /// A request within the dialog that a success began.
+    /// A request within the dialog that a 200 response established.
     pub fn in_dialog(&self, success: &Message, method: &str) -> Message {
         let target = header::address(success.get("Contact").expect("a Contact"));
         let number = if method == "ACK" { 1 } else { 2 };
@@ -221,7 +222,7 @@
         assert!(self.socket.send(bytes));
     }
 
-    /// Resets the connection: closing it with something unread does. What is unread is waited for.
+    /// Resets the connection by closing it with unread data. Waits until such data has arrived.
     pub fn reset(&mut self) {
         let new_socket = SipSocket::connect(self.proxy, Transport::Tcp);
         if let SipSocket::Tcp(stream, _) = std::mem::replace(&mut self.socket, new_socket) {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The next message, whatever it is.
+    /// The next message of any kind.
     pub fn next_message(&mut self) -> Message {
         self.socket.receive().expect("a message")
     }
@@ -263,11 +264,11 @@
     }
 }
 
-/// What the exchange has seen of one number.
+/// The requests that the exchange received for one number.
 #[derive(Default)]
 struct NumberRecord {
     requests: Vec<String>,
-    /// Transactions and their last responses, for repeats.
+    /// Responses by transaction, to answer retransmissions.
     answers: BTreeMap<String, Vec<Message>>,
     invites: usize,
 }
@@ -275,7 +276,7 @@
 #[derive(Default)]
 struct State {
     numbers: BTreeMap<String, NumberRecord>,
-    /// The number that each dialog is of.
+    /// The called number by Call-ID.
     calls: BTreeMap<String, String>,
     told: bool,
     held_set_up: Option<(Message, Reply)>,
@@ -296,7 +297,7 @@
     }
 }
 
-/// An exchange on UDP and TCP that does what the number called says.
+/// A stand-in exchange on UDP and TCP. The called number selects its behaviour.
 pub struct Exchange {
     pub addr: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
@@ -336,7 +337,7 @@
         Exchange { addr, state }
     }
 
-    /// Its entry in a service file.
+    /// Its section in a service file.
     pub fn entry(&self, number: usize, prefix: &str, transport: Transport) -> String {
         format!(
             "[[sip.exchanges]]\nnumber = {number}\nprefixes = [\"{prefix}\"]\naddress = \"{}\"\n\
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Waits until a request of some number has come.
+    /// Waits until a request with this method was received for a number.
     pub fn wait_for(&self, number: &str, method: &str) {
         self.wait_until(method, |state| {
             let record = state.numbers.get(number)?;
@@ -366,13 +367,13 @@
         });
     }
 
-    /// Lets the set-up that waits for it be answered.
+    /// Answers the set-up that is held back.
     pub fn answer_held_set_up(&self) {
         let (message, reply) = self.wait_until("a held set-up", |state| state.held_set_up.take());
         answer(self.addr, &message, &reply);
     }
 
-    /// What came for a number: waits for the end of its last transaction, an ACK, or a BYE where the caller
+    /// The methods received for a number. Waits for the end of its last transaction: an ACK, or a BYE if the caller
     /// hangs up.
     pub fn wait_for_end(&self, number: &str) -> Vec<String> {
         self.wait_until("the end of a call", |state| {
@@ -404,7 +405,7 @@
     message
 }
 
-/// Takes one message as RFC 3261 has it: repeats get the same answer and are not counted.
+/// Handles one request as RFC 3261 requires: a retransmission gets the same responses and is not recorded again.
 fn handle_request(shared: &Arc<(Mutex<State>, Condvar)>, addr: SocketAddr, message: Message, reply: &Reply) {
     let Some(method) = message.method().map(str::to_owned) else { return };
     let call_id = message.get("Call-ID").expect("a Call-ID").to_owned();
