--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -93,6 +93,7 @@
         number
     }
 
+    /// Adds queued bytes and subtracts written ones, for one queue and in total.
     fn adjust(&self, send_queue: &SendQueue, added: usize, written: usize) {
         if send_queue.aborted.get() {
             return;
@@ -218,6 +219,7 @@
     }
 }
 
+/// The writer: sends what is queued until the handle is dropped or a write fails.
 async fn write(send_queues: Rc<SendQueues>, send_queue: Rc<SendQueue>, wake_ups: Receiver<()>) {
     let mut stream = send_queue.stream.clone();
     loop {
@@ -249,6 +251,7 @@
     Ok(n)
 }
 
+/// The reader: frames the byte stream and sends each message to the owner's mailbox.
 async fn read<M>(
     stream: TcpStream,
     mailbox: Sender<M>,
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -215,6 +215,7 @@
         removed
     }
 
+    /// Carries out the effects that the call table asked for.
     async fn apply_effects(
         &mut self,
         effects: &mut Vec<CallEffect>,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -36,8 +36,9 @@
 /// The single-threaded executor that runs all actors.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// Mailbox length from which [`post_throttled`] makes the sender wait. Mailboxes are otherwise unbounded: they use
-/// memory only for the messages they hold, and no message that has to be delivered is lost to a full mailbox.
+/// Number of queued messages from which [`post_throttled`] makes the sender wait. Mailboxes are otherwise unbounded:
+/// they use memory only for the messages they hold, and no message that has to be delivered is lost to a full
+/// mailbox.
 const BACKPRESSURE_THRESHOLD: usize = 64;
 /// Interval at which a waiting sender looks at the mailbox length again.
 const BACKPRESSURE_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -50,7 +51,7 @@
     mailbox.send(message).await.is_ok()
 }
 
-/// Sends to a mailbox. A failure is ignored: an actor ends only when the program does.
+/// Sends to an actor that runs as long as the program, so that a failure can be ignored.
 pub(crate) async fn post<M>(mailbox: &Sender<M>, message: M) {
     let _ = mailbox.send(message).await;
 }
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -19,6 +19,7 @@
 const MAX_CANCELLED: usize = 256;
 
 impl Peer {
+    /// Carries out a command of the call table.
     pub(super) async fn command(&mut self, id: CallId, command: ExchangeCommand) {
         if matches!(command, ExchangeCommand::Release { .. }) {
             self.liveness.over(&id);
@@ -133,6 +134,7 @@
         self.write(connection_id, &message);
     }
 
+    /// Cancels a pending set-up. If it timed out unanswered, its connection is suspected and replaced.
     async fn cancel_set_up(&mut self, id: CallId, leg: u32) {
         let now = self.now();
         let pending =
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -253,6 +253,7 @@
         }
     }
 
+    /// Carries out the outputs of the SIP agent.
     async fn apply_outputs(&mut self, outputs: &mut Vec<Output>) {
         for output in std::mem::take(outputs) {
             match output {
@@ -267,6 +268,7 @@
         }
     }
 
+    /// Sends a message to a hop. Over TCP it uses an open connection to the hop or to `alt`, or opens a new one.
     fn send(&mut self, hop: Hop, alt: Option<Hop>, message: Message) {
         if hop.transport == Transport::Udp {
             if self.datagrams.try_send((hop.addr, message.bytes())).is_err() {
--- a/tests/platform_loopback.rs
+++ b/tests/platform_loopback.rs
@@ -17,11 +17,11 @@
 use standin::SipSocket;
 
 fn listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a socket")
+    TcpListener::bind("127.0.0.1:0").expect("the socket is bound")
 }
 
 fn addr_of(listener: &TcpListener) -> SocketAddr {
-    listener.local_addr().expect("an address")
+    listener.local_addr().expect("the socket has a local address")
 }
 
 /// A stand-in exchange: its end of all connections that the proxy keeps to it.
@@ -38,7 +38,7 @@
     let accept = |ix| {
         let stream = listener.accept().expect("the proxy connects").0;
         let (mut socket, sender) =
-            (SipSocket::from_stream(stream.try_clone().expect("a handle")), sender.clone());
+            (SipSocket::from_stream(stream.try_clone().expect("the socket is cloned")), sender.clone());
         thread::spawn(move || loop {
             let message = socket.receive();
             let ended = message.is_none();
@@ -53,17 +53,17 @@
 
 impl StandInExchange {
     fn send_message(&mut self, message: &Message) {
-        self.streams[self.last_connection].write_all(&message.bytes()).expect("it is sent");
+        self.streams[self.last_connection].write_all(&message.bytes()).expect("the message is sent");
     }
 
     fn receive(&mut self) -> Option<Message> {
-        let (ix, message) = self.received.recv().expect("a message or an end");
+        let (ix, message) = self.received.recv().expect("the reader thread sends a message or an end");
         self.last_connection = ix;
         message
     }
 
     fn expect_message(&mut self, expected: &str) -> Message {
-        let message = self.receive().expect("a message");
+        let message = self.receive().expect("a SIP message");
         assert_eq!(method_or_status(&message), expected, "{message:?}");
         message
     }
@@ -94,7 +94,7 @@
 
 impl Drop for Fixture {
     fn drop(&mut self) {
-        std::fs::remove_file(&self.path).expect("the file is there");
+        std::fs::remove_file(&self.path).expect("the file exists");
     }
 }
 
@@ -124,19 +124,23 @@
                 "rules": {"drain_grace": 0.5}, "telemetry": {"how": "piggyback"}}});
         let name = format!("mallowring-{}-{}.json", std::process::id(), addr_of(&discovery).port());
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, config.to_string()).expect("a file");
+        std::fs::write(&path, config.to_string()).expect("the file is written");
         let env = BTreeMap::from([("NODE_CONFIG".to_owned(), path.display().to_string())]);
-        let node = Node::bind(Config::read(&env).expect("fine")).expect("sockets");
-        let (proxy, shutdown, reload) =
-            (node.platform_addr().expect("it is on"), node.shutdown_sender(), node.reload_sender());
+        let node = Node::bind(Config::read(&env).expect("the configuration is valid"))
+            .expect("the listeners are bound");
+        let (proxy, shutdown, reload) = (
+            node.platform_addr().expect("the platform front is configured"),
+            node.shutdown_sender(),
+            node.reload_sender(),
+        );
         let thread = Some(thread::spawn(|| node.run()));
         Fixture { proxy, shutdown, thread, exchange_listener, discovery, reload, config, path }
     }
 
     /// Replaces the configuration file and makes the proxy reload it.
     fn reload(&self, text: &str) {
-        std::fs::write(&self.path, text).expect("a file");
-        self.reload.try_send(()).expect("it runs");
+        std::fs::write(&self.path, text).expect("the file is written");
+        self.reload.try_send(()).expect("the proxy runs");
         while !self.reload.is_empty() {
             thread::yield_now();
         }
@@ -159,13 +163,13 @@
 
     /// Shuts the proxy down and waits for its end.
     fn shut_down(mut self) {
-        self.shutdown.try_send(()).expect("it runs");
+        self.shutdown.try_send(()).expect("the proxy runs");
         self.wait_for_exit();
     }
 
     fn wait_for_exit(&mut self) {
-        let thread = self.thread.take().expect("it was started");
-        thread.join().expect("no panic").expect("it drained");
+        let thread = self.thread.take().expect("the proxy was started");
+        thread.join().expect("no thread panicked").expect("the proxy drains");
     }
 }
 
@@ -209,12 +213,12 @@
 
 impl CallerExt for SipSocket {
     fn send_message(&mut self, message: &Message) {
-        assert!(self.send(&message.bytes()), "it could not be sent");
+        assert!(self.send(&message.bytes()), "the message could not be sent");
     }
 
     /// Receives a message, which must be a request with this method or a response with this status.
     fn expect_message(&mut self, expected: &str) -> Message {
-        let message = self.receive().expect("a message");
+        let message = self.receive().expect("a SIP message");
         assert_eq!(method_or_status(&message), expected, "{message:?}");
         message
     }
@@ -223,7 +227,7 @@
         let options =
             Message::request("OPTIONS", "sip:ping@net").with("Call-ID", "t").with("CSeq", "1 OPTIONS");
         self.send_message(&options);
-        self.receive().expect("an answer").status()
+        self.receive().expect("the proxy answers").status()
     }
 
     /// Sets a call of this caller up, which the exchange answers.
@@ -259,8 +263,8 @@
     let seen = exchange.expect_message("INVITE");
     assert_eq!((seen.get("Call-ID"), seen.get("X-Tier")), (Some(id_of("a").as_str()), Some("alarm")));
     assert_eq!((seen.start.clone(), seen.body.as_slice()), (invite("").start, &b"offer\r\n\0\xff"[..]));
-    let left: u32 = seen.get("X-Deadline").and_then(|v| v.parse().ok()).expect("a number");
-    assert!(left <= 2000, "not longer than the aim: {left}");
+    let left: u32 = seen.get("X-Deadline").and_then(|v| v.parse().ok()).expect("X-Deadline is a number");
+    assert!(left <= 2000, "longer than the target of the class: {left}");
     exchange.send_message(&Message::response(503, "Full", &seen.headers).with("X-Outcome", "overload"));
     exchange.expect_message("ACK");
     let refusal = caller.expect_message("503");
@@ -341,7 +345,7 @@
     exchange.expect_message("INVITE");
     let old_listener = std::mem::replace(&mut fixture.exchange_listener, listener());
     drop((old_listener, exchange));
-    let mut ends = [caller.receive().expect("an end"), caller.receive().expect("an end")];
+    let mut ends = [caller.receive().expect("the call ends"), caller.receive().expect("the call ends")];
     ends.sort_by_key(|m| m.status());
     assert_eq!((ends[0].method(), ends[0].get("Reason")), (Some("BYE"), Some("Q.850;cause=41")));
     assert_eq!((ends[1].status(), ends[1].get("Call-ID")), (Some(503), Some(id_of("out").as_str())));
@@ -357,11 +361,11 @@
     let mut caller = fixture.caller();
     caller.set_up_call(&mut silent, "old");
     let mut started = roster_event(4, false, "ready", addr_of(&fixture.exchange_listener));
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after the Unix epoch").as_millis();
     // The roster counts whole milliseconds: the next one is certainly after the set-up.
     started["roster"]["instances"][0]["startedAtMs"] = json!(now as u64 + 1);
     let mut stream = fixture.discovery.accept().expect("the proxy connects").0;
-    writeln!(stream, "{started}").expect("it is sent");
+    writeln!(stream, "{started}").expect("the message is sent");
     let release = caller.expect_message("BYE");
     assert_eq!(
         (release.get("Call-ID"), release.get("Reason")),
@@ -411,7 +415,7 @@
     for n in 0.. {
         let id = format!("call-{n}");
         caller.send_message(&invite(&id));
-        if caller.receive().expect("an answer").status() == Some(503) {
+        if caller.receive().expect("the proxy answers").status() == Some(503) {
             break;
         }
         caller.send_message(&bye(&id, 16));
@@ -423,7 +427,9 @@
 fn read_resume_request(discovery: &TcpListener) -> (TcpStream, String) {
     let stream = discovery.accept().expect("the proxy connects").0;
     let mut line = String::new();
-    BufReader::new(stream.try_clone().expect("a handle")).read_line(&mut line).expect("a line");
+    BufReader::new(stream.try_clone().expect("the socket is cloned"))
+        .read_line(&mut line)
+        .expect("a line can be read");
     (stream, line)
 }
 
@@ -440,7 +446,7 @@
     fixture.reload("{");
     assert_eq!(caller.send_options(), Some(200));
     writeln!(old, "{}", roster_event(4, false, "ready", addr_of(&fixture.exchange_listener)))
-        .expect("it is still followed");
+        .expect("the old connection to discovery is still open");
     let discovery = listener();
     fixture.config["bulletin"] = json!(addr_of(&discovery).to_string());
     fixture.config["known"] = json!({"no": 4, "items": []});
@@ -469,7 +475,7 @@
     exchange.last_connection = sent[0].1;
     exchange.streams[exchange.last_connection]
         .write_all(b"SIP/2.0 2x0 OK\r\nCall-ID: ?\r\nContent-Length: 0\r\n\r\n")
-        .expect("sent");
+        .expect("the answer is sent");
     // The connection is closed, and its set-up is released on another one, as it may have been established.
     let seen = [exchange.receive(), exchange.receive()];
     assert!(seen.iter().any(Option::is_none), "{seen:?}");
@@ -523,10 +529,14 @@
                 }
                 Some(message) if message.method() == Some("INVITE") => {
                     exchange.send_message(&Message::response(200, "OK", &message.headers));
-                    served.push(message.get("Call-ID").expect("an id").to_owned());
+                    served.push(message.get("Call-ID").expect("a Call-ID header").to_owned());
                     let answer = caller.expect_message("200");
                     let mut release = bye("x", 16);
-                    standin::set_header(&mut release, "Call-ID", answer.get("Call-ID").expect("an id"));
+                    standin::set_header(
+                        &mut release,
+                        "Call-ID",
+                        answer.get("Call-ID").expect("a Call-ID header"),
+                    );
                     caller.send_message(&release);
                     caller.expect_message("200");
                 }
@@ -551,12 +561,13 @@
     caller.set_up_call(&mut exchange, "a");
     let (mut discovery, _) = read_resume_request(&fixture.discovery);
     writeln!(discovery, "{}", roster_event(4, false, "draining", addr_of(&fixture.exchange_listener)))
-        .expect("it is sent");
-    let ends: Vec<_> = exchange.streams.iter().map(|stream| stream.try_clone().expect("a handle")).collect();
+        .expect("the message is sent");
+    let ends: Vec<_> =
+        exchange.streams.iter().map(|stream| stream.try_clone().expect("the socket is cloned")).collect();
     // A refused call shows that the proxy has read the roster event.
     call_until_refused(&mut caller, exchange);
     for end in ends {
-        end.shutdown(std::net::Shutdown::Both).expect("it is open");
+        end.shutdown(std::net::Shutdown::Both).expect("the connection is open");
     }
     let release = caller.expect_message("BYE");
     assert_eq!(
@@ -566,7 +577,7 @@
     // The next connection here belongs to the next exchange on the roster.
     let mut new = roster_event(5, false, "ready", addr_of(&fixture.exchange_listener));
     new["roster"]["instances"][0]["instanceId"] = json!("s-new");
-    writeln!(discovery, "{new}").expect("it is sent");
+    writeln!(discovery, "{new}").expect("the message is sent");
     let mut new_connections = accept_connections(&fixture.exchange_listener);
     new_connections.send_message(&state_notification());
     while caller.send_options() != Some(200) {}
@@ -586,7 +597,7 @@
     let (mut stream, line) = read_resume_request(&fixture.discovery);
     assert_eq!(line, "after 3\n");
     let drains = roster_event(4, false, "draining", addr_of(&fixture.exchange_listener));
-    writeln!(stream, "3\n{drains}\n4").expect("it is sent");
+    writeln!(stream, "3\n{drains}\n4").expect("the message is sent");
     call_until_refused(&mut fixture.caller(), exchange);
     let (_stream, line) = read_resume_request(&fixture.discovery);
     assert_eq!(line, "after 4\n");
@@ -701,7 +712,7 @@
     let mut exchange = fixture.ready_exchange();
     let mut caller = fixture.caller();
     caller.set_up_call(&mut exchange, "a");
-    fixture.shutdown.try_send(()).expect("it runs");
+    fixture.shutdown.try_send(()).expect("the proxy runs");
     let mut late = fixture.caller();
     late.set_up_call(&mut exchange, "b");
     for id in ["a", "b"] {
@@ -720,24 +731,24 @@
         .env("MALLOWRING_SERVICE", &service)
         .stderr(std::process::Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
-    assert!(lines.any(|line| line.expect("a line").contains("SIP over UDP and TCP started")));
+        .expect("the program starts");
+    let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
+    assert!(lines.any(|line| line.expect("a line can be read").contains("SIP over UDP and TCP started")));
     let id = child.id().to_string();
     let send = |signal: &str| {
-        std::process::Command::new("kill").args([signal, id.as_str()]).status().expect("kill").success()
+        std::process::Command::new("kill").args([signal, id.as_str()]).status().expect("kill runs").success()
     };
     assert!(send("-HUP"));
-    assert!(lines.any(|line| line.expect("a line").contains("configuration read again")));
+    assert!(lines.any(|line| line.expect("a line can be read").contains("configuration read again")));
     assert!(send("-TERM"));
-    assert!(child.wait().expect("it ends").success());
-    assert!(lines.any(|line| line.expect("a line").contains("drained")));
-    std::fs::remove_file(service).expect("the file is there");
+    assert!(child.wait().expect("the program ends").success());
+    assert!(lines.any(|line| line.expect("a line can be read").contains("drained")));
+    std::fs::remove_file(service).expect("the file exists");
 }
 
 fn service_on_free_ports() -> std::path::PathBuf {
-    let text = std::fs::read_to_string("deploy/service.toml").expect("the service file");
+    let text = std::fs::read_to_string("deploy/service.toml").expect("the service file can be read");
     let path = std::env::temp_dir().join(format!("mallowring-sigterm-{}.toml", std::process::id()));
-    std::fs::write(&path, text.replace("127.0.0.1:5060", "127.0.0.1:0")).expect("a file");
+    std::fs::write(&path, text.replace("127.0.0.1:5060", "127.0.0.1:0")).expect("the file is written");
     path
 }
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -41,19 +41,19 @@
 impl Proxy {
     /// Starts it with these exchanges in place of those of the file, and with additional sections.
     pub fn start(exchanges: &str, more_sections: &str) -> Proxy {
-        let text = std::fs::read_to_string("deploy/service.toml").expect("the service file");
-        let (head, rest) = text.split_once("[[sip.exchanges]]").expect("an exchange");
-        let (_, settings) = rest.split_once("[settings]").expect("settings");
+        let text = std::fs::read_to_string("deploy/service.toml").expect("the service file can be read");
+        let (head, rest) = text.split_once("[[sip.exchanges]]").expect("the service file has an exchange");
+        let (_, settings) = rest.split_once("[settings]").expect("the service file has settings");
         let head = head.replace("127.0.0.1:5060", "127.0.0.1:0");
         let path =
             std::env::temp_dir().join(format!("mallowring-{}-{}.toml", std::process::id(), next_number()));
         std::fs::write(&path, format!("{head}{exchanges}{more_sections}\n[settings]{settings}"))
-            .expect("a file");
+            .expect("the file is written");
         let env = BTreeMap::from([("MALLOWRING_SERVICE".to_owned(), path.display().to_string())]);
         let config = Config::read(&env);
-        std::fs::remove_file(&path).expect("the file is there");
-        let node = Node::bind(config.expect("settings that can be read")).expect("sockets");
-        let (addr, stop) = (node.sip_addr().expect("the SIP front is on"), node.shutdown_sender());
+        std::fs::remove_file(&path).expect("the file exists");
+        let node = Node::bind(config.expect("the configuration is valid")).expect("the listeners are bound");
+        let (addr, stop) = (node.sip_addr().expect("the SIP front is configured"), node.shutdown_sender());
         let (http, netconf) = (node.http_addr(), node.netconf_addr());
         Proxy { addr, http, netconf, stop, thread: Some(thread::spawn(|| node.run())) }
     }
@@ -64,7 +64,7 @@
         let _ = self.stop.try_send(());
         let ended = self.thread.take().map(thread::JoinHandle::join);
         if !thread::panicking() {
-            ended.expect("it was started").expect("no panic").expect("it drained");
+            ended.expect("the proxy was started").expect("no thread panicked").expect("the proxy drains");
         }
     }
 }
@@ -79,17 +79,17 @@
     pub fn connect(to: SocketAddr, transport: Transport) -> SipSocket {
         match transport {
             Transport::Udp => {
-                let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-                socket.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
+                let socket = UdpSocket::bind("127.0.0.1:0").expect("the socket is bound");
+                socket.set_read_timeout(Some(READ_TIMEOUT)).expect("the read timeout is set");
                 SipSocket::Udp(socket, to)
             }
-            Transport::Tcp => SipSocket::from_stream(TcpStream::connect(to).expect("a connection")),
+            Transport::Tcp => SipSocket::from_stream(TcpStream::connect(to).expect("the connection opens")),
         }
     }
 
     /// Wraps an open connection.
     pub fn from_stream(stream: TcpStream) -> SipSocket {
-        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("the read timeout is set");
         SipSocket::Tcp(stream, Framer::default())
     }
 
@@ -98,7 +98,7 @@
             SipSocket::Udp(socket, _) => socket.local_addr(),
             SipSocket::Tcp(stream, _) => stream.local_addr(),
         }
-        .expect("a local address")
+        .expect("the socket has a local address")
     }
 
     pub fn send(&mut self, bytes: &[u8]) -> bool {
@@ -113,11 +113,11 @@
         match self {
             SipSocket::Udp(socket, _) => {
                 let (n, _) = socket.recv_from(&mut bytes).ok()?;
-                Some(Message::datagram(&bytes[..n]).expect("a message"))
+                Some(Message::datagram(&bytes[..n]).expect("a SIP message"))
             }
             SipSocket::Tcp(stream, framer) => loop {
-                if let Some(message) = framer.pull().expect("framing") {
-                    return Some(message.expect("a message"));
+                if let Some(message) = framer.pull().expect("the stream is framed") {
+                    return Some(message.expect("a SIP message"));
                 }
                 match stream.read(&mut bytes) {
                     Ok(0) | Err(_) => return None,
@@ -194,24 +194,24 @@
     pub fn ack(&self, invite: &Message, refusal: &Message) -> Message {
         let mut message = self.same_transaction(invite, "ACK");
         message.headers.retain(|(n, _)| n != "To");
-        message.with("To", refusal.get("To").expect("a To"))
+        message.with("To", refusal.get("To").expect("a To header"))
     }
 
     /// A request within the dialog that a 200 response established.
     pub fn in_dialog(&self, success: &Message, method: &str) -> Message {
-        let target = header::address(success.get("Contact").expect("a Contact"));
+        let target = header::address(success.get("Contact").expect("a Contact header"));
         let number = if method == "ACK" { 1 } else { 2 };
         Message::request(method, target)
             .with("Via", self.via())
             .with("Max-Forwards", 70)
-            .with("From", success.get("From").expect("a From"))
-            .with("To", success.get("To").expect("a To"))
+            .with("From", success.get("From").expect("a From header"))
+            .with("To", success.get("To").expect("a To header"))
             .with("Call-ID", &self.call_id)
             .with("CSeq", format!("{number} {method}"))
     }
 
     pub fn send(&mut self, message: &Message) {
-        assert!(self.try_send(message), "it could not be sent");
+        assert!(self.try_send(message), "the message could not be sent");
     }
 
     pub fn try_send(&mut self, message: &Message) -> bool {
@@ -226,13 +226,13 @@
     pub fn reset(&mut self) {
         let new_socket = SipSocket::connect(self.proxy, Transport::Tcp);
         if let SipSocket::Tcp(stream, _) = std::mem::replace(&mut self.socket, new_socket) {
-            assert!(stream.peek(&mut [0]).expect("something to leave unread") > 0);
+            assert!(stream.peek(&mut [0]).expect("unread data arrives") > 0);
         }
     }
 
     /// The next message of any kind.
     pub fn next_message(&mut self) -> Message {
-        self.socket.receive().expect("a message")
+        self.socket.receive().expect("a SIP message")
     }
 
     fn next_matching(&mut self, matches: impl Fn(&Message) -> bool) -> Message {
@@ -278,7 +278,7 @@
     numbers: BTreeMap<String, NumberRecord>,
     /// The called number by Call-ID.
     calls: BTreeMap<String, String>,
-    told: bool,
+    answer_requested: bool,
     held_set_up: Option<(Message, Reply)>,
 }
 
@@ -292,7 +292,9 @@
     fn send(&self, message: &Message) {
         match self {
             Reply::Udp(socket, to) => drop(socket.send_to(&message.bytes(), to)),
-            Reply::Tcp(stream) => drop(stream.lock().expect("no panic").write_all(&message.bytes())),
+            Reply::Tcp(stream) => {
+                drop(stream.lock().expect("no thread panicked").write_all(&message.bytes()))
+            }
         }
     }
 }
@@ -306,18 +308,18 @@
 impl Exchange {
     pub fn start() -> Exchange {
         let (udp, tcp) = loop {
-            let udp = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-            if let Ok(tcp) = TcpListener::bind(udp.local_addr().expect("an address")) {
+            let udp = UdpSocket::bind("127.0.0.1:0").expect("the socket is bound");
+            if let Ok(tcp) = TcpListener::bind(udp.local_addr().expect("the socket has a local address")) {
                 break (Arc::new(udp), tcp);
             }
         };
-        let addr = udp.local_addr().expect("an address");
+        let addr = udp.local_addr().expect("the socket has a local address");
         let state = Arc::<(Mutex<State>, Condvar)>::default();
         let shared = state.clone();
         thread::spawn(move || {
             let mut bytes = vec![0; MOST];
             while let Ok((n, from)) = udp.recv_from(&mut bytes) {
-                let message = Message::datagram(&bytes[..n]).expect("a message of the proxy's");
+                let message = Message::datagram(&bytes[..n]).expect("the proxy sends valid SIP");
                 handle_request(&shared, addr, message, &Reply::Udp(udp.clone(), from));
             }
         });
@@ -325,7 +327,8 @@
         thread::spawn(move || {
             while let Ok((stream, _)) = tcp.accept() {
                 let shared = shared.clone();
-                let reply = Reply::Tcp(Arc::new(Mutex::new(stream.try_clone().expect("a handle"))));
+                let reply =
+                    Reply::Tcp(Arc::new(Mutex::new(stream.try_clone().expect("the socket is cloned"))));
                 let mut socket = SipSocket::Tcp(stream, Framer::default());
                 thread::spawn(move || {
                     while let Some(message) = socket.receive() {
@@ -348,13 +351,13 @@
     }
 
     fn wait_until<T>(&self, what: &str, condition: impl Fn(&mut State) -> Option<T>) -> T {
-        let mut state = self.state.0.lock().expect("no panic");
+        let mut state = self.state.0.lock().expect("no thread panicked");
         loop {
             if let Some(found) = condition(&mut state) {
                 return found;
             }
-            let (next, timeout) = self.state.1.wait_timeout(state, READ_TIMEOUT).expect("no panic");
-            assert!(!timeout.timed_out(), "the exchange never saw {what}");
+            let (next, timeout) = self.state.1.wait_timeout(state, READ_TIMEOUT).expect("no thread panicked");
+            assert!(!timeout.timed_out(), "the exchange never received {what}");
             state = next;
         }
     }
@@ -408,14 +411,15 @@
 /// Handles one request as RFC 3261 requires: a retransmission gets the same responses and is not recorded again.
 fn handle_request(shared: &Arc<(Mutex<State>, Condvar)>, addr: SocketAddr, message: Message, reply: &Reply) {
     let Some(method) = message.method().map(str::to_owned) else { return };
-    let call_id = message.get("Call-ID").expect("a Call-ID").to_owned();
-    let branch = message.get("Via").and_then(|v| header::param(v, "branch")).expect("a branch");
+    let call_id = message.get("Call-ID").expect("a Call-ID header").to_owned();
+    let branch =
+        message.get("Via").and_then(|v| header::param(v, "branch")).expect("a branch in the Via header");
     let transaction = format!("{branch} {method}");
-    let mut guard = shared.0.lock().expect("no panic");
+    let mut guard = shared.0.lock().expect("no thread panicked");
     let state = &mut *guard;
     if method == "INVITE" {
         let Start::Request { uri, .. } = &message.start else { return };
-        let number = header::Uri::read(uri).expect("a sip address").user.to_owned();
+        let number = header::Uri::read(uri).expect("the request URI is a SIP URI").user.to_owned();
         state.calls.insert(call_id.clone(), number);
     }
     let number = state.calls.get(&call_id).cloned().unwrap_or_default();
@@ -464,8 +468,8 @@
                 let bye = Message::request("BYE", "sip:mallowring@127.0.0.1")
                     .with("Via", format!("SIP/2.0/UDP {addr};rport;branch=z9hG4bK{}", next_number()))
                     .with("Max-Forwards", 70)
-                    .with("From", message.get("To").expect("a To"))
-                    .with("To", message.get("From").expect("a From"))
+                    .with("From", message.get("To").expect("a To header"))
+                    .with("To", message.get("From").expect("a From header"))
                     .with("Call-ID", call_id)
                     .with("CSeq", "9 BYE")
                     .with("Reason", format!("Q.850;cause={cause}"));
