--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -169,7 +169,7 @@
         message_timeout: Duration,
         wrap: impl Fn(ConnectionEvent) -> M + 'static,
     ) -> ConnectionHandle {
-        // Sends small messages without delay. If the option fails, they are only later.
+        // Sends small messages without delay. If the option can't be set, they are only delayed.
         let _ = stream.set_nodelay(true);
         let send_queue = Rc::new(SendQueue {
             stream: stream.clone(),
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -92,8 +92,8 @@
             .with("CSeq", format_args!("{cseq} {method}"))
     }
 
-    /// Sends a command: a set-up on the connection with the fewest unanswered and pending ones, a release on the
-    /// connection that received something last.
+    /// Sends a command: a set-up on the connection with the fewest signs of failure and pending set-ups, a release on
+    /// the connection that received something last.
     pub(super) fn send_command(&mut self, id: CallId, command: ExchangeCommand) {
         let (connection_id, message) = match command {
             ExchangeCommand::SetUp(SetUp {
@@ -113,7 +113,7 @@
                 let least_loaded = self
                     .connections
                     .iter_mut()
-                    .min_by_key(|(_, c)| (c.unanswered_set_ups, c.pending_set_ups.len()));
+                    .min_by_key(|(_, c)| (c.failure_signs, c.pending_set_ups.len()));
                 let Some((connection_id, connection)) = least_loaded else { return };
                 connection
                     .pending_set_ups
@@ -134,7 +134,8 @@
         self.write(connection_id, &message);
     }
 
-    /// Cancels a pending set-up. If it timed out unanswered, its connection is suspected and replaced.
+    /// Cancels a pending set-up. If it was direct and timed out, and nothing was answered on its connection since it
+    /// was sent, the connection is replaced.
     async fn cancel_set_up(&mut self, id: CallId, leg: u32) {
         let now = self.now();
         let pending =
@@ -145,10 +146,10 @@
         let Some(invite) = connection.pending_set_ups.remove(&id) else { return };
         let connection_id = *connection_id;
         if invite.direct && now >= invite.expires_at && connection.last_answer <= invite.sent_at {
-            connection.unanswered_set_ups += 1;
+            connection.failure_signs += 1;
         }
         self.send_cancel(connection_id, id);
-        self.replace_unanswered(connection_id);
+        self.replace_failing(connection_id);
     }
 
     fn send_cancel(&mut self, connection_id: u64, id: CallId) {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Cancels set-ups that are lost: an exchange answers in order, and a set-up that was sent later is established.
+    /// Cancels set-ups that are lost: an exchange takes direct set-ups in order, and a later one was answered.
     async fn cancel_overtaken(&mut self) {
         let (now, latest) = (self.now(), self.latest_answered_send);
         let overtaken = |invite: &PendingInvite| {
@@ -173,7 +174,7 @@
                 pending.into_iter().partition(|(_, i)| overtaken(i));
             connection.pending_set_ups = remaining;
             for (id, invite) in overtaken_set_ups {
-                connection.unanswered_set_ups += u32::from(connection.last_answer <= invite.sent_at);
+                connection.failure_signs += u32::from(connection.last_answer <= invite.sent_at);
                 lost.push((*connection_id, id, invite.leg));
             }
         }
@@ -186,7 +187,7 @@
             self.send_cancel(connection_id, id.clone());
             self.set_up_failed(id, Some(leg), Outcome::Cancelled, Cause::Unspecified, LoadReport::default())
                 .await;
-            self.replace_unanswered(connection_id);
+            self.replace_failing(connection_id);
         }
     }
 
@@ -230,7 +231,7 @@
         // Answers are matched by Call-ID and method alone: exchanges do not repeat the number in CSeq.
         let now = self.now();
         let invite = self.connections.get_mut(&connection_id).and_then(|connection| {
-            (connection.last_answer, connection.unanswered_set_ups) = (now, 0);
+            (connection.last_answer, connection.failure_signs) = (now, 0);
             connection.pending_set_ups.remove(&id)
         });
         let leg = invite.as_ref().map(|invite| invite.leg);
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -91,7 +91,7 @@
             connected_at,
             last_received: connected_at,
             last_answer: connected_at,
-            unanswered_set_ups: 0,
+            failure_signs: 0,
             pending_set_ups: Default::default(),
         };
         self.connections.insert(connection_id, connection);
@@ -105,8 +105,8 @@
         }
     }
 
-    /// An attempt to connect failed. Without another connection, no queued set-up was sent. If the attempt was
-    /// refused and the last connection was lost before, the process is dead.
+    /// Handles a failed attempt to connect. If no connection is left, the queued set-ups fail, as none of them was
+    /// sent. If the attempt was refused just after the last connection was lost, the process is dead.
     pub(super) async fn connect_failed(&mut self, error: std::io::Error) {
         self.connecting -= 1;
         self.verify_next = false;
@@ -183,12 +183,12 @@
         }
     }
 
-    /// Replaces a connection with unanswered set-ups, once no set-up is pending on it.
-    pub(super) fn replace_unanswered(&mut self, connection_id: u64) {
+    /// Replaces a connection with signs of failure, once no set-up is pending on it.
+    pub(super) fn replace_failing(&mut self, connection_id: u64) {
         if self
             .connections
             .get(&connection_id)
-            .is_none_or(|c| c.unanswered_set_ups == 0 || !c.pending_set_ups.is_empty())
+            .is_none_or(|c| c.failure_signs == 0 || !c.pending_set_ups.is_empty())
         {
             return;
         }
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -81,8 +81,8 @@
     last_received: Time,
     /// When an answer to a set-up was last received on it; at first, when it was opened.
     last_answer: Time,
-    /// Signs since then that it does not work: set-ups that were overtaken or timed out, and missing states.
-    unanswered_set_ups: u32,
+    /// Number of signs of failure since then: set-ups that were overtaken or timed out, and missing states.
+    failure_signs: u32,
     /// Set-ups sent on it that are not answered.
     pending_set_ups: BTreeMap<CallId, PendingInvite>,
 }
--- a/src/net/peer/watch.rs
+++ b/src/net/peer/watch.rs
@@ -82,9 +82,9 @@
         );
         telemetry::exchange_connection_silent();
         if let Some(connection) = self.connections.get_mut(&connection_id) {
-            connection.unanswered_set_ups += 1;
+            connection.failure_signs += 1;
         }
-        self.replace_unanswered(connection_id);
+        self.replace_failing(connection_id);
     }
 
     /// Opens one more connection to find out whether the exchange is alive.
