--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -98,7 +98,7 @@
             match message {
                 EngineMessage::Input(input) => self.table.handle(now, input, &mut effects),
                 EngineMessage::Roster { full, listed } => {
-                    tracing::info!(whole = full, lines = listed.len(), "roster update");
+                    tracing::info!(whole = full, lines = listed.len(), "list");
                     let removed = self.apply_roster(full, &listed, &mut peers);
                     let mut entries: Vec<_> =
                         listed.into_iter().map(|listed_exchange| listed_exchange.entry).collect();
--- a/tests/deployment/mod.rs
+++ b/tests/deployment/mod.rs
@@ -45,10 +45,8 @@
     /// Starts the exchanges and a proxy with this configuration, and waits until it is ready.
     pub async fn with_config(tasks: Executor, exchanges: i64, config: ProxyConfig) -> Deployment {
         let record = Record::default();
-        let start = |number| {
-            Exchange::start(&tasks, &record, &format!("s-{number}"), number, 1)
-                .expect("the exchange binds its socket")
-        };
+        let start =
+            |number| Exchange::start(&tasks, &record, &format!("s-{number}"), number, 1).expect("sockets");
         let exchanges: Vec<Exchange> = (1..=exchanges).map(start).collect();
         let entries: Vec<RosterEntry> = exchanges.iter().map(|e| roster_entry(e, Lifecycle::Ready)).collect();
         let discovery = Discovery::start(&tasks, &record, 0, &entries).expect("discovery binds its socket");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -101,8 +101,7 @@
         let (mut new_exchanges, mut peak_descriptors) = (Vec::new(), 0);
         for n in 0..60 {
             let name = format!("new-{n}");
-            let exchange = Exchange::start(&tasks, &deployment.record, &name, 1 + n, 1)
-                .expect("the exchange binds its socket");
+            let exchange = Exchange::start(&tasks, &deployment.record, &name, 1 + n, 1).expect("sockets");
             let drained = roster_entry(&deployment.exchanges[n as usize], Lifecycle::Draining);
             deployment.discovery.publish(false, &[drained, roster_entry(&exchange, Lifecycle::Ready)]);
             new_exchanges.push(exchange);
--- a/tests/platform_loopback.rs
+++ b/tests/platform_loopback.rs
@@ -126,8 +126,7 @@
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, config.to_string()).expect("the file is written");
         let env = BTreeMap::from([("NODE_CONFIG".to_owned(), path.display().to_string())]);
-        let node = Node::bind(Config::read(&env).expect("the configuration is valid"))
-            .expect("the listeners are bound");
+        let node = Node::bind(Config::read(&env).expect("fine")).expect("sockets");
         let (proxy, shutdown, reload) = (
             node.platform_addr().expect("the platform front is configured"),
             node.shutdown_sender(),
@@ -475,7 +474,7 @@
     exchange.last_connection = sent[0].1;
     exchange.streams[exchange.last_connection]
         .write_all(b"SIP/2.0 2x0 OK\r\nCall-ID: ?\r\nContent-Length: 0\r\n\r\n")
-        .expect("the answer is sent");
+        .expect("sent");
     // The connection is closed, and its set-up is released on another one, as it may have been established.
     let seen = [exchange.receive(), exchange.receive()];
     assert!(seen.iter().any(Option::is_none), "{seen:?}");
@@ -736,7 +735,7 @@
     assert!(lines.any(|line| line.expect("a line can be read").contains("SIP over UDP and TCP started")));
     let id = child.id().to_string();
     let send = |signal: &str| {
-        std::process::Command::new("kill").args([signal, id.as_str()]).status().expect("kill runs").success()
+        std::process::Command::new("kill").args([signal, id.as_str()]).status().expect("kill").success()
     };
     assert!(send("-HUP"));
     assert!(lines.any(|line| line.expect("a line can be read").contains("configuration read again")));
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -43,7 +43,7 @@
     pub fn start(exchanges: &str, more_sections: &str) -> Proxy {
         let text = std::fs::read_to_string("deploy/service.toml").expect("the service file can be read");
         let (head, rest) = text.split_once("[[sip.exchanges]]").expect("the service file has an exchange");
-        let (_, settings) = rest.split_once("[settings]").expect("the service file has settings");
+        let (_, settings) = rest.split_once("[settings]").expect("settings");
         let head = head.replace("127.0.0.1:5060", "127.0.0.1:0");
         let path =
             std::env::temp_dir().join(format!("mallowring-{}-{}.toml", std::process::id(), next_number()));
@@ -52,7 +52,7 @@
         let env = BTreeMap::from([("MALLOWRING_SERVICE".to_owned(), path.display().to_string())]);
         let config = Config::read(&env);
         std::fs::remove_file(&path).expect("the file exists");
-        let node = Node::bind(config.expect("the configuration is valid")).expect("the listeners are bound");
+        let node = Node::bind(config.expect("the configuration is valid")).expect("sockets");
         let (addr, stop) = (node.sip_addr().expect("the SIP front is configured"), node.shutdown_sender());
         let (http, netconf) = (node.http_addr(), node.netconf_addr());
         Proxy { addr, http, netconf, stop, thread: Some(thread::spawn(|| node.run())) }
@@ -116,7 +116,7 @@
                 Some(Message::datagram(&bytes[..n]).expect("a SIP message"))
             }
             SipSocket::Tcp(stream, framer) => loop {
-                if let Some(message) = framer.pull().expect("the stream is framed") {
+                if let Some(message) = framer.pull().expect("framing") {
                     return Some(message.expect("a SIP message"));
                 }
                 match stream.read(&mut bytes) {
