--- a/src/calls/table.rs
+++ b/src/calls/table.rs
@@ -11,8 +11,8 @@
 use crate::logic::Controller;
 use crate::telemetry;
 
-/// Seconds before the end of the caller's wait at which a final answer is sent at the latest, so that it arrives
-/// whole in time.
+/// A final answer is sent at least this many seconds before the caller stops waiting, so that all of it arrives in
+/// time.
 pub const MARGIN: Secs = 0.02;
 
 /// Approximate memory in bytes of a call without its description, in all places that keep a record of it: the call
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
-    /// No attempt is in progress, and no final answer was given.
+    /// No attempt is in progress, and the caller has no final answer yet.
     NoAttempt,
     /// One attempt is in progress.
     Attempting { exchange_id: ExchangeId, leg: u32, sent: Time },
@@ -95,7 +95,8 @@
     /// Creates a table without calls whose decision module uses the given tuning.
     pub fn with_tuning(settings: Settings, tuning: Tuning, tenants: Tenants, seed: u64, now: Time) -> Self {
         let mut controller = Controller::with_tuning(settings.clone(), tuning, seed);
-        // Rosters and states arrive unprompted, so the actions that the controller asks for at its start are dropped.
+        // The controller may ask to subscribe to the roster at its start. Rosters and trunk group states arrive
+        // unprompted here, so its actions are dropped.
         controller.start(now, &mut Vec::new());
         Table {
             settings,
@@ -198,14 +199,14 @@
             CallEvent::Answered { id, exchange: exchange_id, leg, description } => {
                 self.on_answered(now, id, exchange_id, leg, description, effects);
             }
-            CallEvent::SetUpFailed { id, exchange: exchange_id, leg, outcome, cause: why, report } => {
-                self.on_set_up_failed(now, id, exchange_id, leg, (outcome, why, report), effects);
+            CallEvent::SetUpFailed { id, exchange: exchange_id, leg, outcome, cause: end_cause, report } => {
+                self.on_set_up_failed(now, id, exchange_id, leg, (outcome, end_cause, report), effects);
             }
-            CallEvent::ExchangeReleased { id, exchange: exchange_id, completed: whole, report } => {
-                self.on_exchange_released(now, id, exchange_id, whole, report, effects);
+            CallEvent::ExchangeReleased { id, exchange: exchange_id, completed: was_completed, report } => {
+                self.on_exchange_released(now, id, exchange_id, was_completed, report, effects);
             }
             CallEvent::Status { exchange: exchange_id, report } => {
-                // A state may cross the roster entry that removes its exchange.
+                // A state may arrive after the roster entry that removes its exchange.
                 if self.roster.contains_key(&exchange_id) {
                     self.status_received.insert(exchange_id);
                 }
@@ -326,7 +327,7 @@
                 ));
             }
             Some(Stage::NoAttempt) => {}
-            // The answer crossed the caller's cancel: the call is established, but no longer wanted.
+            // The caller cancelled while the answer was on its way: the established call is released at both ends.
             Some(Stage::Established { .. }) => {
                 let front = self.calls.get(&id).map(|c| c.front);
                 self.on_caller_released(now, id.clone(), effects);
@@ -357,7 +358,7 @@
         self.report_end(now, &id, (exchange_id, leg, sent), end, true, effects);
     }
 
-    /// Handles a caller's release of a call that is not established yet: it means that the caller gives up.
+    /// Treats a caller's release of a call that is not established yet as giving up.
     fn give_up_if_waiting(&mut self, now: Time, id: CallId, effects: &mut Vec<CallEffect>) {
         if self.calls.contains_key(&id) {
             self.on_caller_gave_up(now, id, effects);
@@ -399,7 +400,7 @@
                 _ => {}
             }
         }
-        // The answer crossed the cancel of this attempt: no caller waits for it.
+        // The exchange answered while the cancel of this attempt was on its way: no caller waits for the answer.
         effects.push(CallEffect::Exchange(exchange_id, id, ExchangeCommand::Release { leg }));
     }
 
@@ -464,7 +465,7 @@
             }
             _ => None,
         };
-        // An exchange sends a release on every connection, so most arrive twice.
+        // An exchange sends a release on each of its connections, so most arrive twice. Repeats are ignored.
         let Some((front, leg, sent)) = established else { return };
         tracing::debug!(call = id.0, office = exchange_id.0, whole, "call released");
         self.remove_call(&id, |_| {});
@@ -550,7 +551,7 @@
         for (exchange_id, before) in down {
             self.on_exchange_down(now, exchange_id, before, effects);
         }
-        // Ids are never reused, so nothing has to be kept of removed exchanges.
+        // Ids are never reused, so the entries of removed exchanges can be dropped.
         let roster = &mut self.roster;
         roster.retain(|_, (state, ..)| *state != ServiceState::Removed);
         self.unavailable_since.retain(|id, _| roster.contains_key(id));
@@ -558,7 +559,7 @@
         self.status_received.retain(|id| roster.contains_key(id));
     }
 
-    /// Largest number of exchanges in any of the maps by exchange, as a check on their memory.
+    /// Size of the largest map or set that is keyed by exchange, to check that removed exchanges are dropped.
     pub fn exchange_entries(&self) -> usize {
         [
             self.roster.len(),
@@ -609,13 +610,13 @@
         }
     }
 
-    /// Tells the decision module how an attempt or an established call ended.
+    /// Reports to the decision module how an attempt or an established call ended.
     fn report_end(
         &mut self,
         now: Time,
         id: &CallId,
         (exchange_id, leg, sent): (ExchangeId, u32, Time),
-        (outcome, why, report): (Outcome, Cause, LoadReport),
+        (outcome, end_cause, report): (Outcome, Cause, LoadReport),
         is_concluded: bool,
         effects: &mut Vec<CallEffect>,
     ) {
@@ -626,7 +627,7 @@
             exchange: exchange_id,
             outcome,
             elapsed: took,
-            cause: why,
+            cause: end_cause,
             retry_after: None,
             concluded: is_concluded,
             report,
@@ -634,8 +635,8 @@
         self.decide(now, Event::AttemptEnded(result), effects);
     }
 
-    /// Passes an event to the decision module and carries out its actions. An attempt that a rule forbids results in
-    /// one more event.
+    /// Passes an event to the decision module and carries out its actions. An attempt that a rule forbids adds one
+    /// more event.
     fn decide(&mut self, now: Time, event: Event, effects: &mut Vec<CallEffect>) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -684,7 +685,7 @@
         None
     }
 
-    /// Sends one attempt. If a rule forbids it, nothing is sent, and the result is the event that tells the decision
+    /// Sends one attempt. If a rule forbids it, nothing is sent, and the returned event reports this to the decision
     /// module.
     fn attempt(
         &mut self,
@@ -714,8 +715,8 @@
         } else {
             None
         };
-        if let Some(why) = forbidden {
-            effects.push(CallEffect::Log(format!("call {}: attempt {leg} held back: {why}", id.0)));
+        if let Some(reason) = forbidden {
+            effects.push(CallEffect::Log(format!("call {}: attempt {leg} held back: {reason}", id.0)));
             return Some(Event::AttemptEnded(AttemptResult {
                 id,
                 leg,
