--- a/src/capture/mod.rs
+++ b/src/capture/mod.rs
@@ -1,7 +1,7 @@
-//! What a proxy was told and what it decided, kept so that it can be decided again. Nothing here does I/O: frames
-//! are bytes that somebody else writes and reads.
+//! Captures: records of the events of a proxy's call table and of their effects, for replay. Nothing here does I/O;
+//! the caller reads and writes the bytes.
 //!
-//! Every input has a number of its own, so that those of one moment come again in their true order.
+//! Entries carry sequence numbers, so that events with the same time replay in their original order.
 
 pub mod frame;
 pub mod replay;
@@ -15,38 +15,38 @@
 /// One entry of a capture.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number, counting up by one from 0 for each call table.
+    /// The sequence number, counting up by one from 0 for each call table.
     pub seq: u64,
-    /// The proxy's clock, seconds.
+    /// The time on the proxy's clock, in seconds.
     pub at: Time,
-    /// What happened.
-    pub what: What,
+    /// What the entry records.
+    pub kind: EntryKind,
 }
 
-/// What happened.
+/// The kinds of entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
-    /// A call table began, knowing nothing but this.
-    Start(Box<Start>),
-    /// It was told something.
-    Told(CallEvent),
-    /// The administration changed its tenants.
-    Tenants(Vec<Change>),
-    /// What it commanded upon the entry before.
-    Commanded(Vec<CallEffect>),
-    /// So many entries were dropped here, as whoever writes could not keep up.
+pub enum EntryKind {
+    /// A call table was created from these values and no other state.
+    Start(Box<TableStart>),
+    /// The call table handled an event.
+    Event(CallEvent),
+    /// An administration interface changed the tenants.
+    TenantChanges(Vec<Change>),
+    /// The effects of the preceding event. Omitted if there were none.
+    Effects(Vec<CallEffect>),
+    /// This many entries are missing here because the writer of the capture could not keep up.
     Gap(u64),
 }
 
-/// What a call table begins with.
+/// The initial values of a call table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Start {
+pub struct TableStart {
     /// The settings.
     pub settings: Settings,
-    /// The module's tuned values.
+    /// The tuned values of the controller.
     pub tuning: Tuning,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// The seed.
+    /// The seed of the controller's random numbers.
     pub seed: u64,
 }
--- a/src/capture/replay.rs
+++ b/src/capture/replay.rs
@@ -1,75 +1,76 @@
-//! Decides again what a capture holds.
+//! Replays a capture: passes its events to a new call table and compares the effects with the recorded ones.
 
-use super::{Entry, What};
+use super::{Entry, EntryKind};
 use crate::calls::tenants::Tenants;
 use crate::calls::{CallEffect, Table};
 
-/// The first place at which the decisions differ.
+/// The first event whose effects differ from the recorded ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The entry that was answered differently.
-    pub told: Entry,
-    /// What was commanded then.
-    pub then: Vec<CallEffect>,
-    /// What is commanded now.
-    pub now: Vec<CallEffect>,
+    /// The event.
+    pub entry: Entry,
+    /// The effects in the capture.
+    pub recorded: Vec<CallEffect>,
+    /// The effects of the replay.
+    pub replayed: Vec<CallEffect>,
 }
 
-/// What came of a replay.
+/// The result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Replayed {
-    /// Inputs that were decided again.
-    pub inputs: u64,
-    /// Commands that came out the same.
-    pub commands: u64,
-    /// Entries before the first start: nothing can be said of them.
-    pub skipped: u64,
-    /// Entries that were dropped when the capture was made. What follows is only decided again from the next start on.
-    pub gaps: u64,
-    /// Where the decisions differ first, if they do.
+pub struct ReplayReport {
+    /// The number of events replayed.
+    pub events: u64,
+    /// The number of effects that were the same.
+    pub effects: u64,
+    /// The number of entries that were not replayed because no start precedes them, or none since the last gap.
+    pub skipped_entries: u64,
+    /// The number of entries missing from the capture. After a gap, the replay resumes at the next start.
+    pub dropped_entries: u64,
+    /// The first difference. The replay ends there.
     pub difference: Option<Box<Difference>>,
 }
 
-/// Hands a capture's inputs to a fresh call table and holds its commands against those that were given then.
-pub fn replay(entries: &[Entry]) -> Replayed {
-    let mut done = Replayed::default();
+/// Replays a capture up to the first difference.
+pub fn replay(entries: &[Entry]) -> ReplayReport {
+    let mut report = ReplayReport::default();
     let mut table: Option<Table> = None;
-    let mut out = Vec::new();
+    let mut output = Vec::new();
     for (ix, entry) in entries.iter().enumerate() {
-        match (&entry.what, table.as_mut()) {
-            (What::Start(start), _) => {
+        match (&entry.kind, table.as_mut()) {
+            (EntryKind::Start(start), _) => {
                 let tenants = Tenants::new(start.tenants.iter().cloned());
                 let (settings, tuning) = (start.settings.clone(), start.tuning.clone());
-                table = Some(Table::tuned(settings, tuning, tenants, start.seed, entry.at));
+                table = Some(Table::with_tuning(settings, tuning, tenants, start.seed, entry.at));
             }
-            // Whatever was dropped may have changed the table.
-            (What::Gap(dropped), _) => {
-                done.gaps += dropped;
+            // The missing entries may have changed the state of the table.
+            (EntryKind::Gap(dropped), _) => {
+                report.dropped_entries += dropped;
                 table = None;
             }
-            (What::Commanded(_), Some(_)) => {}
-            (_, None) => done.skipped += 1,
-            (What::Tenants(changes), Some(table)) => {
-                // A change that was refused then is refused again: it left no trace in either.
-                let _ = table.tenants_mut().change(changes);
+            (EntryKind::Effects(_), Some(_)) => {}
+            (_, None) => report.skipped_entries += 1,
+            (EntryKind::TenantChanges(changes), Some(table)) => {
+                // A change that failed in the original run fails again, and has no effect in either.
+                let _ = table.tenants_mut().apply(changes);
             }
-            (What::Told(input), Some(table)) => {
-                out.clear();
-                table.handle(entry.at, input.clone(), &mut out);
-                done.inputs += 1;
-                // Where nothing was commanded nothing was written.
-                let then: &[CallEffect] = match entries.get(ix + 1).map(|e| &e.what) {
-                    Some(What::Commanded(commands)) => commands,
+            (EntryKind::Event(event), Some(table)) => {
+                output.clear();
+                table.handle(entry.at, event.clone(), &mut output);
+                report.events += 1;
+                // No entry of effects follows an event without effects.
+                let recorded: &[CallEffect] = match entries.get(ix + 1).map(|e| &e.kind) {
+                    Some(EntryKind::Effects(effects)) => effects,
                     _ => &[],
                 };
-                if then != out {
-                    let (then, now) = (then.to_vec(), std::mem::take(&mut out));
-                    done.difference = Some(Box::new(Difference { told: entry.clone(), then, now }));
-                    return done;
+                if recorded != output {
+                    let (recorded, replayed) = (recorded.to_vec(), std::mem::take(&mut output));
+                    report.difference =
+                        Some(Box::new(Difference { entry: entry.clone(), recorded, replayed }));
+                    return report;
                 }
-                done.commands += out.len() as u64;
+                report.effects += output.len() as u64;
             }
         }
     }
-    done
+    report
 }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -10,10 +10,10 @@
 use super::platform::PlatformMessage;
 use super::post;
 use super::sip::SipFrontMessage;
-use crate::calls::wheel::Wheel;
+use crate::calls::wheel::TimerWheel;
 use crate::calls::{CallEvent, CallTimer};
 use crate::interface::{Secs, Time};
-use crate::sip::agent::Alarm;
+use crate::sip::agent::AgentTimer;
 
 /// Unix time that never goes back: the wall clock at start plus the monotonic time since.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
     /// A timer of the call table.
     Call(CallTimer),
     /// A timer of the SIP front.
-    Sip(Alarm),
+    Sip(AgentTimer),
     /// The platform front's periodic check of its connections.
     ConnectionCheck,
 }
@@ -57,9 +57,9 @@
     sip: Option<Sender<SipFrontMessage>>,
     platform: Option<Sender<PlatformMessage>>,
 ) {
-    let mut wheel = Wheel::new(clock.now());
+    let mut wheel = TimerWheel::new(clock.now());
     loop {
-        let received = match wheel.next() {
+        let received = match wheel.next_tick() {
             None => mailbox.recv().await.map(Some),
             Some(next) => {
                 let wait = Duration::from_secs_f64((next - clock.now()).max(0.0));
@@ -71,11 +71,11 @@
             }
         };
         match received {
-            Ok(Some((at, kind))) => wheel.add(at, kind),
+            Ok(Some((at, kind))) => wheel.insert(at, kind),
             Ok(None) => {}
             Err(_) => return,
         }
-        for kind in wheel.due(clock.now()) {
+        for kind in wheel.take_due(clock.now()) {
             match (kind, &sip) {
                 (TimerKind::Call(timer), _) => {
                     post(&engine, EngineMessage::Input(CallEvent::TimerExpired(timer))).await
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -18,8 +18,8 @@
 use smol::{future, Async};
 
 use super::{post_throttled, with_timeout, Executor};
-use crate::limits::memory::{slowest, Queue};
-use crate::sip::message::{Framer, Lost, Malformed, Message};
+use crate::limits::memory::{connection_to_cut, OutboundQueue};
+use crate::sip::message::{Framer, FramingError, MalformedMessage, Message};
 use crate::telemetry;
 
 /// Length of a send queue, in bytes, beyond which a connection is closed because its peer reads too slowly.
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub enum ConnectionEvent {
     /// A message was received, or one that could not be parsed.
-    Message(Result<Message, Malformed>),
+    Message(Result<Message, MalformedMessage>),
     /// The connection has ended; this is its last event.
     Ended(CloseReason),
 }
@@ -46,7 +46,7 @@
     /// An I/O error, such as a reset.
     Broken(io::Error),
     /// The end of a message in the byte stream could not be determined.
-    Framing(Lost),
+    Framing(FramingError),
     /// A message was not complete within the message timeout.
     CutShort,
 }
@@ -102,21 +102,21 @@
         self.total.set((self.total.get() + added).saturating_sub(written));
     }
 
-    /// Aborts connections, in the order given by [`slowest`], until the queued bytes fit the budget.
+    /// Aborts connections, in the order given by [`connection_to_cut`], until the queued bytes fit the budget.
     fn enforce_limit(&self) {
         while self.total.get() > self.limit {
             let all = self.all.borrow();
             let queue = |(number, send_queue): (&u64, &Weak<SendQueue>)| {
                 let send_queue = send_queue.upgrade()?;
-                Some(Queue {
+                Some(OutboundQueue {
                     connection: *number,
                     bytes: send_queue.queued_bytes.get(),
                     proven: send_queue.carries_calls.get(),
                 })
             };
-            let Some(number) = slowest(all.iter().filter_map(queue)) else { return };
+            let Some(number) = connection_to_cut(all.iter().filter_map(queue)) else { return };
             let Some(send_queue) = all.get(&number).and_then(Weak::upgrade) else { return };
-            telemetry::queue_cut("all queues");
+            telemetry::queue_limit_exceeded("all queues");
             self.abort(&send_queue, "the send queues exceed their memory budget");
         }
     }
@@ -205,11 +205,11 @@
             return false;
         }
         if self.send_queue.queued_bytes.get() > MAX_QUEUED_BYTES {
-            telemetry::queue_cut("one queue");
+            telemetry::queue_limit_exceeded("one queue");
             self.send_queues.abort(&self.send_queue, "its send queue is too long");
             return false;
         }
-        let bytes = message.bytes();
+        let bytes = message.to_bytes();
         self.send_queues.adjust(&self.send_queue, bytes.len(), 0);
         self.send_queue.pending.borrow_mut().extend_from_slice(&bytes);
         // If a wake-up is already queued, it covers this message as well.
@@ -279,7 +279,7 @@
             Err(error) => break CloseReason::Broken(error),
         }
         loop {
-            match framer.pull() {
+            match framer.next_message() {
                 Ok(Some(message)) => {
                     message_started = None;
                     if !post_throttled(&mailbox, wrap(ConnectionEvent::Message(message))).await {
@@ -292,8 +292,8 @@
                 Err(error) => break 'reading CloseReason::Framing(error),
             }
         }
-        framer.shrink();
-        message_started = framer.is_within().then(|| message_started.unwrap_or_else(Instant::now));
+        framer.free_empty_buffer();
+        message_started = framer.has_partial_message().then(|| message_started.unwrap_or_else(Instant::now));
     };
     let _ = mailbox.send(wrap(ConnectionEvent::Ended(close_reason))).await;
 }
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -119,11 +119,15 @@
                 }
                 EngineMessage::ChangeTenants(changes, reply) => {
                     tracing::info!(?changes, "tenants changed");
-                    let _ = reply.try_send(self.table.tenants_mut().change(&changes));
+                    let _ = reply.try_send(self.table.tenants_mut().apply(&changes));
                 }
                 EngineMessage::ReadinessTimeout => awaiting_status = false,
                 EngineMessage::Drain => {
-                    tracing::info!(open = self.table.open(), standing = self.table.standing(), "draining");
+                    tracing::info!(
+                        open = self.table.waiting_count(),
+                        standing = self.table.established_count(),
+                        "draining"
+                    );
                     drain_started = drain_started.or(Some(now));
                     let active_shutdown =
                         *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
@@ -137,21 +141,24 @@
                 }
                 EngineMessage::CheckDrained => {
                     let lingered = drain_started.is_some_and(|at| now - at >= MIN_DRAIN_TIME);
-                    if lingered && callers_disconnected && self.table.open() + self.table.standing() == 0 {
+                    if lingered
+                        && callers_disconnected
+                        && self.table.waiting_count() + self.table.established_count() == 0
+                    {
                         tracing::info!(counters = telemetry::summary(), "drained");
                         return;
                     }
-                    if shutdown.is_some_and(|s| !s.admits(now)) {
+                    if shutdown.is_some_and(|s| !s.accepts_set_ups(now)) {
                         self.table.stop_admitting();
                     }
-                    if shutdown.is_some_and(|s| s.must_conclude(now)) {
-                        self.table.refuse_open(&mut effects);
+                    if shutdown.is_some_and(|s| s.must_refuse_open(now)) {
+                        self.table.refuse_waiting(&mut effects);
                     }
                     self.post_later(DRAIN_CHECK_INTERVAL, || EngineMessage::CheckDrained);
                 }
                 EngineMessage::CallersDisconnected => callers_disconnected = true,
                 EngineMessage::LogSummary => {
-                    telemetry::call_records(self.table.held_bytes());
+                    telemetry::set_call_record_bytes(self.table.bytes_in_use());
                     tracing::info!(counters = telemetry::summary(), "counters since the start");
                     self.post_later(SUMMARY_INTERVAL, || EngineMessage::LogSummary);
                 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -23,13 +23,13 @@
 use smol::stream::StreamExt;
 use smol::{future, Async, LocalExecutor, Timer};
 
-use crate::admin::{self, Store};
+use crate::admin::{self, TenantStore};
 use crate::calls::tenants::Tenants;
 use crate::calls::Table;
 use crate::config::Config;
 use crate::limits::descriptors::DescriptorPlan;
 use crate::limits::memory::MemoryPlan;
-use crate::sip::agent::{ClassOfCall, Setup};
+use crate::sip::agent::{AgentConfig, CallClass};
 use conn::SendQueues;
 use permits::Permits;
 
@@ -134,11 +134,11 @@
         let Node { config, platform, sip, http, netconf, stop, reload } = self;
         let clock = clock::Clock::system();
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
-        let origin = config.origin.clone();
+        let origin = config.reload_source.clone();
         let mut roster_sources = None;
         let (engine, engine_messages) = unbounded();
         let (timers, timer_requests) = unbounded();
-        let descriptors = DescriptorPlan::new(config.sockets, config.admin.is_some());
+        let descriptors = DescriptorPlan::new(config.max_descriptors, config.admin.is_some());
         let memory = MemoryPlan::new(config.memory_mb);
         tracing::info!(?descriptors, ?memory, "budgets");
         let send_queues = SendQueues::new(memory.queues);
@@ -149,7 +149,7 @@
             let (source_sender, source_updates) = bounded(1);
             let (stop_accepting, stop_requests) = bounded(1);
             roster_sources = Some(source_sender);
-            tasks.spawn(roster::run(platform_config.source, source_updates, engine.clone())).detach();
+            tasks.spawn(roster::run(platform_config.roster_source, source_updates, engine.clone())).detach();
             let platform = platform::PlatformFront {
                 tasks: tasks.clone(),
                 engine: engine.clone(),
@@ -173,16 +173,16 @@
             let (mailbox, messages) = unbounded();
             let addr = udp.local_addr()?;
             tracing::info!(name = config.name, listen = %addr, "SIP over UDP and TCP started");
-            sip_exchanges = sip_config.exchanges.iter().map(|e| e.line()).collect();
-            let class = |c: &crate::interface::Class| ClassOfCall {
+            sip_exchanges = sip_config.exchanges.iter().map(|e| e.roster_entry()).collect();
+            let class = |c: &crate::interface::Class| CallClass {
                 name: c.name.clone(),
                 give_up: c.give_up_after,
                 width: c.width,
             };
-            let setup = Setup {
+            let setup = AgentConfig {
                 addr,
                 classes: config.settings.classes.iter().map(class).collect(),
-                urgent: sip_config.urgent_class,
+                urgent_class: sip_config.urgent_class,
                 exchanges: sip_config.exchanges,
                 seed: config.seed ^ 0x51b,
             };
@@ -194,7 +194,7 @@
                 timers: timers.clone(),
                 send_queues: send_queues.clone(),
                 connect_timeout: config.connect_timeout,
-                max_connections: config.sockets / 3,
+                max_connections: config.max_descriptors / 3,
             };
             tasks.spawn(sip.run(setup, udp, tcp, messages)).detach();
             sip_front = Some(mailbox);
@@ -203,7 +203,7 @@
             .spawn(clock::run(clock, timer_requests, engine.clone(), sip_front.clone(), front.clone()))
             .detach();
         if let Some(admin) = config.admin {
-            let store = Rc::new(Store::new(engine.clone(), admin.store));
+            let store = Rc::new(TenantStore::new(engine.clone(), admin.tenants_file));
             if let (Some(listener), Some((_, tokens))) = (http, admin.http) {
                 tasks.spawn(admin::http::run(tasks.clone(), listener, store.clone(), tokens)).detach();
             }
@@ -227,7 +227,7 @@
         let reload_sources = async move {
             let mut origin = origin;
             while reloads.recv().await.is_ok() {
-                if let Some(source) = origin.again() {
+                if let Some(source) = origin.reload() {
                     if let Some(roster_sources) = &roster_sources {
                         let _ = roster_sources.send(source).await;
                     }
@@ -245,7 +245,7 @@
         let own_exchange = config.settings.own_exchange;
         let longest_deadline = config.settings.classes.iter().map(|c| c.give_up_after).fold(0.0, f64::max);
         let mut table = Table::new(config.settings, Tenants::new(config.tenants), config.seed, clock.now());
-        table.limit_bytes(memory.calls);
+        table.set_max_bytes(memory.calls);
         let engine_actor = engine::Engine {
             table,
             clock,
--- a/src/net/peer/calls.rs
+++ b/src/net/peer/calls.rs
@@ -7,7 +7,7 @@
 use crate::calls::{CallEvent, ExchangeCommand, SetUp};
 use crate::interface::*;
 use crate::sip::message::Message;
-use crate::sip::{cause, verdict};
+use crate::sip::{failure_outcome, q850_cause};
 use crate::wire;
 
 /// Limit of the set-ups that wait for a connection. Waiting releases have no limit of their own: each belongs to a
@@ -22,7 +22,7 @@
     /// Carries out a command of the call table.
     pub(super) async fn command(&mut self, id: CallId, command: ExchangeCommand) {
         if matches!(command, ExchangeCommand::Release { .. }) {
-            self.liveness.over(&id);
+            self.liveness.call_ended(&id);
         }
         if self.connections.is_empty() {
             return self.command_without_connection(id, command).await;
@@ -198,8 +198,8 @@
             Some("NOTIFY") => self.send_event(CallEvent::Status { exchange: self.exchange, report }).await,
             Some("BYE") => {
                 self.write(connection_id, &Message::response(200, "OK", &message.headers));
-                self.liveness.over(&id);
-                let completed = cause(&message) == Some(16);
+                self.liveness.call_ended(&id);
+                let completed = q850_cause(&message) == Some(16);
                 self.send_event(CallEvent::ExchangeReleased {
                     id,
                     exchange: self.exchange,
@@ -247,7 +247,7 @@
         }
         if status < 300 {
             if let Some(invite) = &invite {
-                self.liveness.stands(now, connection_id, id.clone(), invite.width);
+                self.liveness.call_established(now, connection_id, id.clone(), invite.width);
             }
             let description = Arc::from(message.body);
             self.send_event(CallEvent::Answered { id, exchange: self.exchange, leg, description }).await;
@@ -257,7 +257,7 @@
             }
             return;
         }
-        let (outcome, reason) = verdict(status, message.get("X-Outcome"));
+        let (outcome, reason) = failure_outcome(status, message.get("X-Outcome"));
         if leg.is_some() {
             self.set_up_failed(id, leg, outcome, reason, report).await;
         } else if report != LoadReport::default() {
@@ -272,5 +272,5 @@
         let (name, value) = pair.split_once(':')?;
         Some((name.trim().to_owned(), value.trim().parse().ok()?))
     });
-    wire::report(&pairs.collect::<BTreeMap<String, f64>>())
+    wire::parse_report(&pairs.collect::<BTreeMap<String, f64>>())
 }
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -8,7 +8,7 @@
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
-use crate::membership::liveness::Ending;
+use crate::membership::liveness::CloseKind;
 use crate::net::conn::ConnectionHandle;
 use crate::net::permits::{Permit, PermitDecision};
 use crate::net::with_timeout;
@@ -33,7 +33,7 @@
             if connection_count >= MAX_CONNECTIONS {
                 return;
             }
-            let needed = !self.queued_commands.is_empty() || self.liveness.calls() > 0;
+            let needed = !self.queued_commands.is_empty() || self.liveness.call_count() > 0;
             let purpose = match connection_count {
                 0 if needed => Purpose::Needed,
                 0 => Purpose::Idle,
@@ -95,7 +95,7 @@
             pending_set_ups: Default::default(),
         };
         self.connections.insert(connection_id, connection);
-        self.liveness.opened(connected_at, connection_id);
+        self.liveness.connection_opened(connected_at, connection_id);
         if std::mem::take(&mut self.verify_next) {
             self.verifying_connection = Some(connection_id);
         }
@@ -126,7 +126,7 @@
     async fn exchange_died(&mut self) {
         tracing::warn!(office = self.exchange.0, "exchange process is dead: its calls are released");
         self.last_connection_lost = false;
-        self.liveness.died();
+        self.liveness.process_died();
         self.send_event(CallEvent::ExchangeDown(self.exchange)).await;
     }
 
@@ -135,10 +135,10 @@
         connection_id: u64,
         reason: String,
         ended_by_proxy: bool,
-        ending: Ending,
+        ending: CloseKind,
     ) {
         let Some(lost) = self.connections.remove(&connection_id) else { return };
-        self.liveness.closed(self.now(), connection_id, ending);
+        self.liveness.connection_closed(self.now(), connection_id, ending);
         self.verifying_connection = self.verifying_connection.filter(|verifying| *verifying != connection_id);
         telemetry::exchange_connection_lost();
         if ended_by_proxy {
@@ -225,7 +225,7 @@
     fn retire(&mut self, connection_id: u64, retire_time: Secs) {
         let Some(connection) = self.connections.remove(&connection_id) else { return };
         connection.handle.close_write();
-        self.liveness.closed(self.now(), connection_id, Ending::Broken);
+        self.liveness.connection_closed(self.now(), connection_id, CloseKind::Other);
         self.verifying_connection = self.verifying_connection.filter(|verifying| *verifying != connection_id);
         self.retired.insert(connection_id, (connection.handle, connection._permit));
         self.post_later(retire_time, PeerActorMessage::RetirementOver(connection_id));
@@ -243,11 +243,11 @@
             connection = connection_id,
             "connection given up for another exchange"
         );
-        if self.liveness.calls() > 0 {
+        if self.liveness.call_count() > 0 {
             return self.retire(connection_id, RETIRE_TIME_URGENT);
         }
         self.connections.remove(&connection_id);
-        self.liveness.closed(self.now(), connection_id, Ending::Broken);
+        self.liveness.connection_closed(self.now(), connection_id, CloseKind::Other);
         if self.connections.is_empty() {
             // Without a connection the state of the trunk group is no longer reported.
             self.send_event(CallEvent::StatusLost(self.exchange)).await;
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -21,13 +21,13 @@
 use super::{post, Executor};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
-use crate::limits::connections::BEST;
-use crate::membership::liveness::{Ending, Liveness, Timing};
+use crate::limits::connections::MAX_PER_EXCHANGE;
+use crate::membership::liveness::{CloseKind, FailureDetector, Timing};
 use crate::sip::message::Message;
 
 /// Most connections to one exchange. With several, the failure of one ends only the set-ups pending on it. An
 /// exchange sends its state on four connections at most.
-pub const MAX_CONNECTIONS: usize = BEST;
+pub const MAX_CONNECTIONS: usize = MAX_PER_EXCHANGE;
 
 /// Messages to the actor of an exchange.
 #[derive(Debug)]
@@ -122,7 +122,7 @@
     queued_commands: VecDeque<(CallId, ExchangeCommand)>,
     /// The latest set-ups that were cancelled; an answer may have crossed the CANCEL.
     cancelled: VecDeque<CallId>,
-    liveness: Liveness,
+    liveness: FailureDetector,
     /// When the next liveness check is due, if one is scheduled.
     next_check_at: Option<Time>,
     /// The last check ran late and was postponed.
@@ -154,7 +154,7 @@
         latest_answered_send: context.clock.now(),
         queued_commands: VecDeque::new(),
         cancelled: VecDeque::new(),
-        liveness: Liveness::new(Timing::default()),
+        liveness: FailureDetector::new(Timing::default()),
         next_check_at: None,
         check_postponed: false,
         verifying_connection: None,
@@ -234,7 +234,7 @@
     /// The roster reports a new start of the process. If the old machine vanished, its connections are still open and
     /// silent, so those from before the start are closed.
     async fn exchange_restarted(&mut self, at: Time) {
-        self.liveness.restarted(at);
+        self.liveness.process_restarted(at);
         let older = self.connections.iter().filter(|(_, c)| c.connected_at < at);
         let stale: Vec<u64> = older.map(|(connection_id, _)| *connection_id).collect();
         for connection_id in stale {
@@ -243,7 +243,7 @@
                 connection = connection_id,
                 "exchange restarted: old connection closed"
             );
-            self.liveness.closed(self.now(), connection_id, Ending::Broken);
+            self.liveness.connection_closed(self.now(), connection_id, CloseKind::Other);
             if let Some(connection) = self.connections.remove(&connection_id) {
                 self.fail_pending_set_ups(connection).await;
             }
@@ -259,12 +259,15 @@
             }
             // After a malformed message the rest of the stream can't be trusted.
             ConnectionEvent::Message(Err(error)) => {
-                self.connection_lost(connection_id, error.to_string(), true, Ending::Broken).await
+                self.connection_lost(connection_id, error.to_string(), true, CloseKind::Other).await
             }
             ConnectionEvent::Ended(close_reason) => {
                 let ended_by_proxy = !matches!(close_reason, CloseReason::Closed | CloseReason::Broken(_));
-                let ending =
-                    if matches!(close_reason, CloseReason::Closed) { Ending::Closed } else { Ending::Broken };
+                let ending = if matches!(close_reason, CloseReason::Closed) {
+                    CloseKind::ByPeer
+                } else {
+                    CloseKind::Other
+                };
                 self.connection_lost(connection_id, format!("{close_reason:?}"), ended_by_proxy, ending)
                     .await;
             }
@@ -278,7 +281,7 @@
     /// Set-ups are pending or queued, or calls are established at the exchange.
     fn is_busy(&self) -> bool {
         let open = self.connections.values().any(|c| !c.pending_set_ups.is_empty());
-        open || !self.queued_commands.is_empty() || self.liveness.calls() > 0
+        open || !self.queued_commands.is_empty() || self.liveness.call_count() > 0
     }
 
     fn report_use(&mut self) {
--- a/src/net/peer/watch.rs
+++ b/src/net/peer/watch.rs
@@ -4,7 +4,7 @@
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
-use crate::membership::liveness::{Effect, Ending};
+use crate::membership::liveness::{CloseKind, Effect};
 use crate::net::permits::PermitDecision;
 use crate::sip::message::Message;
 use crate::telemetry;
@@ -23,9 +23,9 @@
         }
         if message.method() == Some("NOTIFY") {
             let report = super::calls::report_of(message);
-            self.liveness.state(now, connection_id, &report);
+            self.liveness.state_received(now, connection_id, &report);
         } else {
-            self.liveness.heard(now, connection_id);
+            self.liveness.message_received(now, connection_id);
         }
         if self.verifying_connection == Some(connection_id) {
             tracing::debug!(
@@ -90,7 +90,8 @@
     /// Opens one more connection to find out whether the exchange is alive.
     async fn verify_exchange(&mut self) {
         if let Some(connection_id) = self.verifying_connection.take() {
-            self.connection_lost(connection_id, "no state received".to_owned(), false, Ending::Broken).await;
+            self.connection_lost(connection_id, "no state received".to_owned(), false, CloseKind::Other)
+                .await;
         }
         let stopped = self.service_state == ServiceState::Draining && self.connections.is_empty();
         if self.connecting > 0 || stopped {
@@ -103,10 +104,10 @@
         };
         tracing::debug!(
             office = self.exchange.0,
-            calls = self.liveness.calls(),
+            calls = self.liveness.call_count(),
             "exchange is silent: opening a connection to verify it"
         );
-        telemetry::exchange_verified();
+        telemetry::exchange_verification_started();
         self.verify_next = true;
         self.open_connection(permit);
     }
@@ -132,7 +133,7 @@
             .await;
         }
         for connection_id in connections {
-            self.connection_lost(connection_id, "silent".to_owned(), false, Ending::Broken).await;
+            self.connection_lost(connection_id, "silent".to_owned(), false, CloseKind::Other).await;
         }
         // If the exchange comes back with these calls, it has to release them as well.
         for id in calls {
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -10,7 +10,7 @@
 use super::clock::Clock;
 use super::peer::PeerActorMessage;
 use crate::interface::ExchangeId;
-use crate::limits::connections::{ConnectionBudget, Grant, Purpose};
+use crate::limits::connections::{Allocation, ConnectionBudget, Purpose};
 use crate::telemetry;
 
 /// The answer to a request for a connection.
@@ -45,7 +45,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.permits.budget.borrow_mut().ended(self.exchange);
+        self.permits.budget.borrow_mut().connection_closed(self.exchange);
     }
 }
 
@@ -59,10 +59,10 @@
     /// Adds an exchange. Logs a warning when from now on not every exchange can have a connection.
     pub fn add_exchange(&self, exchange: ExchangeId, mailbox: Sender<PeerActorMessage>) {
         let mut budget = self.budget.borrow_mut();
-        let fitted_before = budget.fits();
-        budget.listed(self.clock.now(), exchange);
-        if fitted_before && !budget.fits() {
-            let (exchange_count, connection_limit) = (budget.exchanges(), budget.limit());
+        let fitted_before = budget.fits_one_each();
+        budget.add_exchange(self.clock.now(), exchange);
+        if fitted_before && !budget.fits_one_each() {
+            let (exchange_count, connection_limit) = (budget.exchange_count(), budget.limit());
             tracing::warn!(
                 exchanges = exchange_count,
                 connections = connection_limit,
@@ -74,32 +74,32 @@
 
     /// Removes an exchange.
     pub fn remove_exchange(&self, exchange: ExchangeId) {
-        self.budget.borrow_mut().gone(exchange);
+        self.budget.borrow_mut().remove_exchange(exchange);
         self.peers.borrow_mut().remove(&exchange);
     }
 
     /// Records whether an exchange has pending set-ups or established calls.
     pub fn set_in_use(&self, exchange: ExchangeId, busy: bool) {
-        self.budget.borrow_mut().in_use(self.clock.now(), exchange, busy);
+        self.budget.borrow_mut().set_busy(self.clock.now(), exchange, busy);
     }
 
     /// An exchange was asked to give a connection up, and can't at present.
     pub fn decline_release(&self, exchange: ExchangeId) {
-        self.budget.borrow_mut().refused(exchange);
+        self.budget.borrow_mut().close_declined(exchange);
     }
 
     /// The number of connections that hold a permit.
     pub fn open_connections(&self) -> usize {
-        self.budget.borrow().held()
+        self.budget.borrow().allocated()
     }
 
     /// Requests a connection to an exchange.
     pub fn request(self: &Rc<Self>, exchange: ExchangeId, purpose: Purpose) -> PermitDecision {
-        let grant = self.budget.borrow_mut().ask(exchange, purpose);
+        let grant = self.budget.borrow_mut().request(exchange, purpose);
         match grant {
-            Grant::Open => PermitDecision::Granted(Permit { permits: self.clone(), exchange }),
-            Grant::After(victim) => {
-                telemetry::connection_given_up();
+            Allocation::Granted => PermitDecision::Granted(Permit { permits: self.clone(), exchange }),
+            Allocation::AfterClosing(victim) => {
+                telemetry::exchange_connection_reclaimed();
                 tracing::debug!(
                     office = exchange.0,
                     victim = victim.0,
@@ -112,8 +112,8 @@
                 }
                 PermitDecision::Wait
             }
-            Grant::No => {
-                telemetry::connection_denied();
+            Allocation::Denied => {
+                telemetry::exchange_connection_denied();
                 PermitDecision::Denied
             }
         }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -18,7 +18,7 @@
 use crate::interface::*;
 use crate::limits::memory::WaitingReleases;
 use crate::recovery::shutdown::Shutdown;
-use crate::sip::message::{header, Message, Start};
+use crate::sip::message::{header, Message, StartLine};
 use crate::telemetry;
 
 /// Time in seconds within which a message has to be complete, and a new connection has to send a valid request.
@@ -194,7 +194,7 @@
                 PlatformMessage::Connection(connection_id, ConnectionEvent::Message(Err(fault))) => {
                     tracing::warn!(%fault, "malformed message from a caller");
                     let has_call_id = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                    if has_call_id && !fault.response {
+                    if has_call_id && !fault.is_response {
                         state.write(connection_id, &Message::response(400, "Bad Request", &fault.headers));
                     } else {
                         state.close(connection_id).await;
@@ -284,8 +284,8 @@
         let close_reason_of = |caller: &CallerConnection| {
             let nothing_useful = !caller.useful && now - caller.opened_at >= MESSAGE_TIMEOUT;
             let idle = caller.established_calls == 0 && now - caller.last_active >= IDLE_TIMEOUT;
-            let closing_for_shutdown =
-                shutdown.is_some_and(|s| s.may_close(now, caller.open_set_ups, caller.established_calls));
+            let closing_for_shutdown = shutdown
+                .is_some_and(|s| s.may_close_connection(now, caller.open_set_ups, caller.established_calls));
             match caller.open_set_ups {
                 0 if closing_for_shutdown => Some("shutting down"),
                 0 if nothing_useful => Some("nothing useful"),
@@ -316,7 +316,7 @@
 
     fn record_resources(&self) {
         let (callers, exchanges) = (self.caller_connections.len(), self.front.permits.open_connections());
-        telemetry::resources(
+        telemetry::set_resource_usage(
             callers,
             exchanges,
             self.front.send_queues.total_bytes(),
@@ -332,7 +332,7 @@
         }
         let Some(shutdown) = self.shutdown else { return };
         match self.accepting {
-            Accepting::Yes if shutdown.may_end(now, self.no_callers_since) => {
+            Accepting::Yes if shutdown.may_exit(now, self.no_callers_since) => {
                 self.accepting = Accepting::Stopping;
                 // If a stop is already queued, the listener stops anyway.
                 let _ = self.front.stop_accepting.try_send(());
@@ -452,7 +452,7 @@
         if is_call && !caller.carries_calls {
             caller.carries_calls = true;
             caller.handle.mark_carries_calls();
-            for message in self.undelivered_releases.take() {
+            for message in self.undelivered_releases.take_all() {
                 caller.handle.write(&message);
             }
         }
@@ -484,14 +484,14 @@
             }
         };
         if self.caller_connections.get(&connection_id).is_some_and(|caller| caller.over_limit) {
-            telemetry::refused("too many callers");
+            telemetry::request_refused("too many callers");
             let refusal = Message::response(503, "Service Unavailable", &message.headers);
             self.write(connection_id, &refusal.with("X-Cooldown", COOL_DOWN_MS));
             return;
         }
-        let uri = match message.start {
-            Start::Request { uri, .. } => uri,
-            Start::Response { .. } => String::new(),
+        let uri = match message.start_line {
+            StartLine::Request { uri, .. } => uri,
+            StartLine::Response { .. } => String::new(),
         };
         if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
             caller.open_set_ups += 1;
@@ -543,7 +543,7 @@
             }
         };
         let received_on = leg.received_on;
-        telemetry::answered(if ends_call { "refused" } else { "stands" });
+        telemetry::final_answer_sent(if ends_call { "refused" } else { "stands" });
         if ends_call {
             self.calls.remove(&id);
         } else if let Some(caller) = self.caller_connections.get_mut(&received_on) {
@@ -571,7 +571,7 @@
                 call = message.get("Call-ID"),
                 "no connection of a caller is open: release queued"
             );
-            let dropped = self.undelivered_releases.add(message);
+            let dropped = self.undelivered_releases.push(message);
             if dropped > 0 {
                 telemetry::releases_dropped(dropped);
                 tracing::warn!(dropped, "releases dropped: too many wait for a connection of a caller");
@@ -583,9 +583,9 @@
 /// Parses and validates a set-up. A set-up that an exchange could not read must not be forwarded: the exchange would
 /// close the connection, and with it end the other set-ups pending there.
 fn parse_request(id: &CallId, message: &Message) -> Result<Request, &'static str> {
-    let uri = match &message.start {
-        Start::Request { uri, .. } => uri.as_str(),
-        Start::Response { .. } => "",
+    let uri = match &message.start_line {
+        StartLine::Request { uri, .. } => uri.as_str(),
+        StartLine::Response { .. } => "",
     };
     if id.0.len() != 16 || !id.0.bytes().all(|b| b.is_ascii_hexdigit()) {
         return Err("call id is not 16 hex digits");
--- a/src/net/roster.rs
+++ b/src/net/roster.rs
@@ -225,7 +225,7 @@
             Disconnect::Moved(new_source) => Some(new_source),
             Disconnect::Lost(error) => {
                 tracing::warn!(%error, last = reader.last_event, "connection to discovery lost: reconnecting");
-                telemetry::discovery_lost();
+                telemetry::discovery_connection_lost();
                 let again = error.kind() == io::ErrorKind::InvalidData && reader.last_event == unreadable.0;
                 unreadable = (reader.last_event, if again { unreadable.1 + 1 } else { 0 });
                 let delay = async {
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -16,10 +16,10 @@
 use super::{post, with_timeout, Executor};
 use crate::calls::{CallerCommand, ExchangeCommand};
 use crate::interface::*;
-use crate::sip::agent::{Agent, Alarm, Output, Setup};
+use crate::sip::agent::{Agent, AgentConfig, AgentOutput, AgentTimer};
 use crate::sip::header::{Hop, Transport};
-use crate::sip::message::{header, Message, MOST};
-use crate::sip::transaction::Failure;
+use crate::sip::message::{header, Message, MAX_MESSAGE_BYTES};
+use crate::sip::transaction::TransactionFailure;
 use crate::telemetry;
 
 /// Limit of the messages that wait for one connection to be opened, and of the datagrams that wait to be sent.
@@ -43,7 +43,7 @@
     /// An event of a connection, given by its remote address and its id.
     Connection(SocketAddr, u64, ConnectionEvent),
     /// A timer of the SIP agent has expired.
-    TimerExpired(Alarm),
+    TimerExpired(AgentTimer),
 }
 
 /// What the SIP front needs from the rest of the proxy.
@@ -81,7 +81,7 @@
     /// Runs the SIP front until its mailbox is closed.
     pub async fn run(
         self,
-        setup: Setup,
+        setup: AgentConfig,
         udp: UdpSocket,
         tcp: TcpListener,
         messages: Receiver<SipFrontMessage>,
@@ -118,7 +118,7 @@
 }
 
 async fn receive(udp: UdpSocket, mailbox: Sender<SipFrontMessage>) {
-    let mut bytes = vec![0; MOST + 1];
+    let mut bytes = vec![0; MAX_MESSAGE_BYTES + 1];
     loop {
         match udp.recv_from(&mut bytes).await {
             Ok((n, addr)) => post(&mailbox, SipFrontMessage::Datagram(addr, bytes[..n].to_vec())).await,
@@ -145,14 +145,14 @@
 }
 
 impl State {
-    fn handle_message(&mut self, message: SipFrontMessage, outputs: &mut Vec<Output>) {
+    fn handle_message(&mut self, message: SipFrontMessage, outputs: &mut Vec<AgentOutput>) {
         let now = self.front.clock.now();
         match message {
-            SipFrontMessage::ToCaller(id, command) => self.agent.near(now, id, command, outputs),
+            SipFrontMessage::ToCaller(id, command) => self.agent.send_to_caller(now, id, command, outputs),
             SipFrontMessage::ToExchange(exchange, id, command) => {
-                self.agent.far(now, exchange, id, command, outputs)
+                self.agent.send_to_exchange(now, exchange, id, command, outputs)
             }
-            SipFrontMessage::TimerExpired(alarm) => self.agent.fired(now, alarm, outputs),
+            SipFrontMessage::TimerExpired(alarm) => self.agent.on_timer(now, alarm, outputs),
             SipFrontMessage::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, outputs),
             SipFrontMessage::Accepted(stream, addr) => {
                 if self.connections.len() >= self.front.max_connections {
@@ -174,7 +174,7 @@
             SipFrontMessage::Connected(addr, Err(error)) => {
                 tracing::info!(%addr, %error, "opening a SIP connection failed");
                 self.connecting.remove(&addr);
-                self.agent.broken(now, tcp(addr), Failure::Unreached, outputs);
+                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::Unreachable, outputs);
             }
             SipFrontMessage::Connection(addr, connection_id, event) => {
                 if self.connections.get(&addr).is_some_and(|(current_id, _)| *current_id == connection_id) {
@@ -184,16 +184,17 @@
         }
     }
 
-    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], outputs: &mut Vec<Output>) {
+    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], outputs: &mut Vec<AgentOutput>) {
         if bytes.iter().all(|b| matches!(b, b'\r' | b'\n' | 0)) {
             return; // A keep-alive for a NAT.
         }
-        let parsed = if bytes.len() > MOST { None } else { Some(Message::datagram(bytes)) };
+        let parsed =
+            if bytes.len() > MAX_MESSAGE_BYTES { None } else { Some(Message::parse_datagram(bytes)) };
         match parsed {
             Some(Ok(message)) => {
                 self.agent.receive(now, Hop { transport: Transport::Udp, addr }, message, outputs);
             }
-            Some(Err(fault)) => self.count_malformed(addr, fault.what),
+            Some(Err(fault)) => self.count_malformed(addr, fault.problem),
             None => self.count_malformed(addr, "datagram is too long"),
         }
     }
@@ -228,19 +229,24 @@
         now: Time,
         addr: SocketAddr,
         event: ConnectionEvent,
-        outputs: &mut Vec<Output>,
+        outputs: &mut Vec<AgentOutput>,
     ) {
         match event {
             ConnectionEvent::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, outputs),
             ConnectionEvent::Message(Err(fault)) => {
                 tracing::warn!(%addr, %fault, "malformed SIP message");
                 let has_call_id = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                if has_call_id && !fault.response {
+                if has_call_id && !fault.is_response {
                     self.write(addr, &Message::response(400, "Bad Request", &fault.headers));
                 } else {
                     // No response is possible, so the connection is closed.
                     self.connections.remove(&addr);
-                    self.agent.broken(now, tcp(addr), Failure::Broken, outputs);
+                    self.agent.on_connection_failed(
+                        now,
+                        tcp(addr),
+                        TransactionFailure::ConnectionLost,
+                        outputs,
+                    );
                 }
             }
             ConnectionEvent::Ended(reason) => {
@@ -248,22 +254,22 @@
                     tracing::info!(%addr, over = ?reason, "SIP connection lost");
                 }
                 self.connections.remove(&addr);
-                self.agent.broken(now, tcp(addr), Failure::Broken, outputs);
+                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::ConnectionLost, outputs);
             }
         }
     }
 
     /// Carries out the outputs of the SIP agent.
-    async fn apply_outputs(&mut self, outputs: &mut Vec<Output>) {
+    async fn apply_outputs(&mut self, outputs: &mut Vec<AgentOutput>) {
         for output in std::mem::take(outputs) {
             match output {
-                Output::Send(hop, alt, message) => self.send(hop, alt, message),
-                Output::Wake(at, alarm) => {
+                AgentOutput::Send(hop, alt, message) => self.send(hop, alt, message),
+                AgentOutput::StartTimer(at, alarm) => {
                     if self.front.timers.try_send((at, TimerKind::Sip(alarm))).is_err() {
                         tracing::error!("the clock actor has ended: timer lost");
                     }
                 }
-                Output::Core(input) => post(&self.front.engine, EngineMessage::Input(input)).await,
+                AgentOutput::CallTable(input) => post(&self.front.engine, EngineMessage::Input(input)).await,
             }
         }
     }
@@ -271,7 +277,7 @@
     /// Sends a message to a hop. Over TCP it uses an open connection to the hop or to `alt`, or opens a new one.
     fn send(&mut self, hop: Hop, alt: Option<Hop>, message: Message) {
         if hop.transport == Transport::Udp {
-            if self.datagrams.try_send((hop.addr, message.bytes())).is_err() {
+            if self.datagrams.try_send((hop.addr, message.to_bytes())).is_err() {
                 // The transaction retransmits it (RFC 3261, 17.1.1.2).
                 telemetry::datagram_dropped();
                 tracing::warn!(addr = %hop.addr, "too many datagrams wait to be sent: one dropped");
--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -1,8 +1,10 @@
-//! Transactions (RFC 3261, 17, and RFC 6026) without sockets or clock: one core for client and server, for
-//! UDP and TCP. The transport only decides whether messages are sent again.
+//! The transaction layer (RFC 3261, section 17, and RFC 6026) for clients and servers, without sockets or
+//! clock. The same state machines serve UDP and TCP; the transport only decides whether messages are
+//! retransmitted.
 //!
-//! A transaction is known by its branch, not by the way it travels, and it lingers on TCP as long as on UDP:
-//! what is repeated over UDP after a TCP reset finds its transaction and is not taken for a new call.
+//! A transaction is identified by its branch and not by its transport. A transaction is kept on TCP for as
+//! long as on UDP, so that a request repeated over UDP after a TCP reset matches its transaction and does not
+//! set up a second call.
 
 use std::collections::BTreeMap;
 
@@ -10,426 +12,476 @@
 use super::message::Message;
 use crate::interface::{Secs, Time};
 
-/// An estimate of a round trip, and the base of all timers.
+/// Round-trip time estimate in seconds, the base of all timers (RFC 3261, section 17.1.1.1).
 pub const T1: Secs = 0.5;
-/// The longest gap between repeats.
+/// Longest retransmission interval in seconds for non-INVITE requests and for responses to INVITE.
 pub const T2: Secs = 4.0;
-/// How long a message may live in the network.
+/// Longest time in seconds that a message stays in the network.
 pub const T4: Secs = 5.0;
-/// Timers B, D, F, H, J, L and M.
-pub const LONG: Secs = 64.0 * T1;
-/// Transactions of one agent at most; a request beyond is answered with 503 and forgotten.
-pub const MOST: usize = 20_000;
+/// Duration in seconds of timers B, D, F, H, J, L and M (RFC 3261, appendix A, and RFC 6026).
+pub const TRANSACTION_TIMEOUT: Secs = 64.0 * T1;
+/// Maximum number of transactions. At this limit a new request is answered with 503 and creates no
+/// transaction.
+pub const MAX_TRANSACTIONS: usize = 20_000;
 
-/// The name of a transaction: its branch, who sent it, its method. An ACK bears its INVITE's.
+/// The identifier of a transaction (RFC 3261, sections 17.1.3 and 17.2.3). An ACK has the key of its INVITE.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
-    /// The branch, or what stood for it before RFC 3261.
+pub struct TransactionKey {
+    /// The branch, or for a request of RFC 2543 a value built from its headers.
     pub branch: String,
-    /// The sender; empty for a client's own.
+    /// The sent-by value of the topmost Via; empty for a client transaction.
     pub sent_by: String,
-    /// The method.
+    /// The method of the request that created the transaction.
     pub method: String,
 }
 
-/// A timer of this layer.
+/// Identifies a timer of the transaction layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Alarm {
-    /// Of a server transaction.
-    Server(Key),
-    /// Of a client transaction.
-    Client(Key),
+pub enum TransactionTimer {
+    /// A timer of a server transaction.
+    Server(TransactionKey),
+    /// A timer of a client transaction.
+    Client(TransactionKey),
 }
 
 /// Why a client transaction failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// No answer came in time.
+pub enum TransactionFailure {
+    /// No final response arrived in time.
     Timeout,
-    /// No connection came up: nothing was sent.
-    Unreached,
-    /// Its connection broke.
-    Broken,
+    /// No connection could be made, so nothing was sent.
+    Unreachable,
+    /// The connection was lost.
+    ConnectionLost,
 }
 
-/// What this layer wants done or tells.
+/// An action or event that the transaction layer hands to the agent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// A message leaves. Where its connection has gone, the second way is to be taken.
+pub enum TransactionOutput {
+    /// Send a message to the first hop, or to the second one if the connection to the first is gone.
     Send(Hop, Option<Hop>, Message),
-    /// A timer is wanted.
-    Wake(Time, Alarm),
-    /// A new request has come in.
-    Request(Key, Hop, Message),
-    /// An ACK to a success has come in.
+    /// Start a timer that expires at the given time.
+    StartTimer(Time, TransactionTimer),
+    /// A new request was received. Its responses go to the given hop.
+    Request(TransactionKey, Hop, Message),
+    /// An ACK for a 2xx response was received.
     Ack(Message),
-    /// A response has come in; a success may come several times.
-    Response(Key, Message),
-    /// No response comes any more.
-    Failed(Key, Failure),
+    /// A response was received. A 2xx response to INVITE is reported each time it arrives.
+    Response(TransactionKey, Message),
+    /// A client transaction failed without a final response.
+    Failed(TransactionKey, TransactionFailure),
 }
 
+/// The state of a transaction. `Proceeding` includes the states Calling and Trying of RFC 3261.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// No final response yet.
+    /// No final response was sent or received.
     Proceeding,
-    /// A final response that is no success to an INVITE: repeats are answered with it.
+    /// The final response was sent or received, and is not a 2xx response to INVITE. A server answers a
+    /// repeated request with it.
     Completed,
-    /// The ACK has come.
+    /// The ACK of a final response other than 2xx was received.
     Confirmed,
-    /// A success to an INVITE (RFC 6026).
+    /// A 2xx response to INVITE was sent or received (RFC 6026).
     Accepted,
 }
 
 #[derive(Debug)]
-struct Server {
+struct ServerTransaction {
     hop: Hop,
-    alt: Option<Hop>,
+    fallback: Option<Hop>,
     state: State,
-    last: Option<Message>,
-    interval: Secs,
-    resend_at: Option<Time>,
-    ends_at: Option<Time>,
+    last_response: Option<Message>,
+    retransmit_interval: Secs,
+    retransmit_at: Option<Time>,
+    terminate_at: Option<Time>,
 }
 
 #[derive(Debug)]
-struct Client {
+struct ClientTransaction {
     hop: Hop,
     state: State,
-    /// A provisional response has come.
-    heard: bool,
-    /// Nobody waits for it any more: it is called off as soon as that is allowed.
-    called_off: bool,
-    /// Its end was told already.
-    told: bool,
+    /// Whether a provisional response was received.
+    provisional_received: bool,
+    /// Whether the outcome is no longer needed. An INVITE is then cancelled as soon as RFC 3261, section 9.1
+    /// allows.
+    cancelled: bool,
+    /// Whether the final outcome was reported to the agent.
+    outcome_reported: bool,
     request: Message,
     ack: Option<Message>,
-    interval: Secs,
-    resend_at: Option<Time>,
-    ends_at: Option<Time>,
+    retransmit_interval: Secs,
+    retransmit_at: Option<Time>,
+    terminate_at: Option<Time>,
 }
 
-/// All transactions of one agent.
+/// The transactions of one agent.
 #[derive(Debug, Default)]
-pub struct Transactions {
-    server: BTreeMap<Key, Server>,
-    client: BTreeMap<Key, Client>,
+pub struct TransactionLayer {
+    servers: BTreeMap<TransactionKey, ServerTransaction>,
+    clients: BTreeMap<TransactionKey, ClientTransaction>,
 }
 
+/// Whether a timer is due. The tolerance of one microsecond covers rounding errors of floating-point times.
 fn is_due(at: Option<Time>, now: Time) -> bool {
     at.is_some_and(|at| now.0 >= at.0 - 1e-6)
 }
 
-/// The key of a request as its server sees it.
-fn server_key(request: &Message) -> Option<Key> {
-    let top = header::first(request.get("Via")?);
-    let via = Via::read(top)?;
+/// Returns the key under which a server transaction handles a request.
+fn server_key(request: &Message) -> Option<TransactionKey> {
+    let top_via = header::first_value(request.get("Via")?);
+    let via = Via::parse(top_via)?;
     let (number, method) = request.cseq()?;
     let method = if method == "ACK" { "INVITE" } else { method }.to_owned();
     let branch = match via.branch {
         Some(branch) if branch.starts_with("z9hG4bK") => branch.to_owned(),
-        // RFC 2543 had no such branches (RFC 3261, 17.2.3).
+        // A client of RFC 2543 sends no such branch (RFC 3261, section 17.2.3).
         _ => {
             let from = request.get("From").and_then(header::tag).unwrap_or("");
-            format!("{}|{number}|{from}|{top}", request.get("Call-ID")?)
+            format!("{}|{number}|{from}|{top_via}", request.get("Call-ID")?)
         }
     };
-    Some(Key { branch, sent_by: via.sent_by.to_ascii_lowercase(), method })
+    Some(TransactionKey { branch, sent_by: via.sent_by.to_ascii_lowercase(), method })
 }
 
-/// Marks where a request came from (RFC 3261, 18.2.1; RFC 3581) and tells where its responses go.
-fn mark(request: &mut Message, from: Hop) -> Option<(Hop, Option<Hop>)> {
+/// Adds the source address to the topmost Via of a request (RFC 3261, section 18.2.1, and RFC 3581). Returns
+/// the hop for its responses, and for TCP the fallback hop (RFC 3261, section 18.2.2).
+fn mark_source(request: &mut Message, source: Hop) -> Option<(Hop, Option<Hop>)> {
     let (_, value) = request.headers.iter_mut().find(|(name, _)| name.eq_ignore_ascii_case("Via"))?;
-    let top = header::first(value).to_owned();
-    let rest = value[top.len()..].trim().to_owned();
-    let via = Via::read(&top)?;
-    let wanted = Hop { transport: from.transport, addr: (from.addr.ip(), via.port()).into() };
-    let hop = match from.transport {
-        Transport::Udp if !via.rport => wanted,
-        _ => from,
+    let top_via = header::first_value(value).to_owned();
+    let rest = value[top_via.len()..].trim().to_owned();
+    let via = Via::parse(&top_via)?;
+    let sent_by_hop = Hop { transport: source.transport, addr: (source.addr.ip(), via.port()).into() };
+    let hop = match source.transport {
+        Transport::Udp if !via.rport => sent_by_hop,
+        _ => source,
     };
-    let mut marked: Vec<String> = top.split(';').map(|p| p.trim().to_owned()).collect();
-    marked.retain(|p| !p.starts_with("received=") && !p.starts_with("rport"));
-    marked.push(format!("received={}", from.addr.ip()));
+    let mut parts: Vec<String> = top_via.split(';').map(|p| p.trim().to_owned()).collect();
+    parts.retain(|p| !p.starts_with("received=") && !p.starts_with("rport"));
+    parts.push(format!("received={}", source.addr.ip()));
     if via.rport {
-        marked.push(format!("rport={}", from.addr.port()));
+        parts.push(format!("rport={}", source.addr.port()));
     }
-    *value = marked.join(";") + &rest;
-    Some((hop, (from.transport == Transport::Tcp).then_some(wanted)))
+    *value = parts.join(";") + &rest;
+    Some((hop, (source.transport == Transport::Tcp).then_some(sent_by_hop)))
 }
 
-impl Transactions {
-    /// Transactions that are held.
+impl TransactionLayer {
+    /// Returns the number of transactions.
     pub fn len(&self) -> usize {
-        self.server.len() + self.client.len()
+        self.servers.len() + self.clients.len()
     }
 
-    /// No transaction is held.
+    /// Whether there are no transactions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes a message that came in.
-    pub fn receive(&mut self, now: Time, from: Hop, mut message: Message, out: &mut Vec<Out>) {
+    /// Handles a received message.
+    pub fn receive(
+        &mut self,
+        now: Time,
+        source: Hop,
+        mut message: Message,
+        out: &mut Vec<TransactionOutput>,
+    ) {
         if message.status().is_some() {
             return self.on_response(now, message, out);
         }
-        let (Some(key), Some((hop, alt))) = (server_key(&message), mark(&mut message, from)) else {
-            // Without a Via there is no way back but the one it came.
+        let (Some(key), Some((hop, fallback))) = (server_key(&message), mark_source(&mut message, source))
+        else {
+            // Without a valid Via the response can only go to the source of the request.
             if message.method() != Some("ACK") {
-                let refusal = Message::response(400, "Bad Request", &message.headers);
-                out.push(Out::Send(from, None, refusal));
+                let bad_request = Message::response(400, "Bad Request", &message.headers);
+                out.push(TransactionOutput::Send(source, None, bad_request));
             }
             return;
         };
         let is_ack = message.method() == Some("ACK");
-        let full = self.len() >= MOST;
-        match self.server.get_mut(&key) {
+        let at_capacity = self.len() >= MAX_TRANSACTIONS;
+        match self.servers.get_mut(&key) {
             Some(server) if is_ack => {
                 if server.state == State::Completed {
                     server.state = State::Confirmed;
-                    server.resend_at = None;
+                    server.retransmit_at = None;
                     let end = now + T4;
-                    server.ends_at = Some(end);
-                    out.push(Out::Wake(end, Alarm::Server(key)));
+                    server.terminate_at = Some(end);
+                    out.push(TransactionOutput::StartTimer(end, TransactionTimer::Server(key)));
                 } else if server.state == State::Accepted {
-                    out.push(Out::Ack(message));
+                    out.push(TransactionOutput::Ack(message));
                 }
             }
-            None if is_ack => out.push(Out::Ack(message)),
+            None if is_ack => out.push(TransactionOutput::Ack(message)),
             Some(server) => {
-                // Repeated, maybe another way: what was said last goes the new way.
-                (server.hop, server.alt) = (hop, alt);
+                // A retransmission may arrive over another transport: the last response goes back over that
+                // one.
+                (server.hop, server.fallback) = (hop, fallback);
                 if matches!(server.state, State::Proceeding | State::Completed) {
-                    out.extend(server.last.clone().map(|last| Out::Send(hop, alt, last)));
+                    out.extend(
+                        server
+                            .last_response
+                            .clone()
+                            .map(|last_response| TransactionOutput::Send(hop, fallback, last_response)),
+                    );
                 }
             }
-            None if full => {
-                out.push(Out::Send(
+            None if at_capacity => {
+                out.push(TransactionOutput::Send(
                     hop,
-                    alt,
+                    fallback,
                     Message::response(503, "Service Unavailable", &message.headers),
                 ));
             }
             None => {
-                let (last, state) = (None, State::Proceeding);
-                let server = Server { hop, alt, state, last, interval: T1, resend_at: None, ends_at: None };
-                self.server.insert(key.clone(), server);
+                let (last_response, state) = (None, State::Proceeding);
+                let server = ServerTransaction {
+                    hop,
+                    fallback,
+                    state,
+                    last_response,
+                    retransmit_interval: T1,
+                    retransmit_at: None,
+                    terminate_at: None,
+                };
+                self.servers.insert(key.clone(), server);
                 if key.method == "INVITE" {
                     let trying = Message::response(100, "Trying", &message.headers);
                     self.respond(now, &key, trying, out);
                 }
-                out.push(Out::Request(key, hop, message));
+                out.push(TransactionOutput::Request(key, hop, message));
             }
         }
     }
 
-    /// Whether a server transaction still waits for its final response.
-    pub fn is_open(&self, key: &Key) -> bool {
-        self.server.get(key).is_some_and(|s| s.state == State::Proceeding)
+    /// Whether a server transaction has not sent its final response.
+    pub fn awaits_final_response(&self, key: &TransactionKey) -> bool {
+        self.servers.get(key).is_some_and(|s| s.state == State::Proceeding)
     }
 
-    /// Where the responses of a server transaction go.
-    pub fn way_back(&self, key: &Key) -> Option<(Hop, Option<Hop>)> {
-        self.server.get(key).map(|s| (s.hop, s.alt))
+    /// Returns the hop and the fallback hop for the responses of a server transaction.
+    pub fn response_destination(&self, key: &TransactionKey) -> Option<(Hop, Option<Hop>)> {
+        self.servers.get(key).map(|s| (s.hop, s.fallback))
     }
 
-    /// Answers a request. A second final response is not sent.
-    pub fn respond(&mut self, now: Time, key: &Key, response: Message, out: &mut Vec<Out>) {
-        let Some(server) = self.server.get_mut(key) else { return };
+    /// Sends a response to a request. After a final response, further responses are dropped.
+    pub fn respond(
+        &mut self,
+        now: Time,
+        key: &TransactionKey,
+        response: Message,
+        out: &mut Vec<TransactionOutput>,
+    ) {
+        let Some(server) = self.servers.get_mut(key) else { return };
         let status = response.status().unwrap_or(500);
         if server.state != State::Proceeding {
             return;
         }
-        out.push(Out::Send(server.hop, server.alt, response.clone()));
-        server.last = Some(response);
+        out.push(TransactionOutput::Send(server.hop, server.fallback, response.clone()));
+        server.last_response = Some(response);
         if status < 200 {
             return;
         }
-        let end = now + LONG;
-        server.ends_at = Some(end);
-        out.push(Out::Wake(end, Alarm::Server(key.clone())));
+        let end = now + TRANSACTION_TIMEOUT;
+        server.terminate_at = Some(end);
+        out.push(TransactionOutput::StartTimer(end, TransactionTimer::Server(key.clone())));
         if key.method == "INVITE" && status < 300 {
             server.state = State::Accepted;
             return;
         }
         server.state = State::Completed;
         if key.method == "INVITE" && server.hop.transport == Transport::Udp {
-            let at = now + server.interval;
-            server.resend_at = Some(at);
-            out.push(Out::Wake(at, Alarm::Server(key.clone())));
+            let at = now + server.retransmit_interval;
+            server.retransmit_at = Some(at);
+            out.push(TransactionOutput::StartTimer(at, TransactionTimer::Server(key.clone())));
         }
     }
 
-    /// Sends a request whose topmost Via bears a fresh branch.
-    pub fn request(&mut self, now: Time, hop: Hop, request: Message, out: &mut Vec<Out>) -> Option<Key> {
+    /// Sends a request and creates its client transaction. The topmost Via must have a new branch.
+    pub fn send_request(
+        &mut self,
+        now: Time,
+        hop: Hop,
+        request: Message,
+        out: &mut Vec<TransactionOutput>,
+    ) -> Option<TransactionKey> {
         let key = client_key(&request)?;
-        out.push(Out::Send(hop, None, request.clone()));
-        let (end, mut resend_at) = (now + LONG, None);
+        out.push(TransactionOutput::Send(hop, None, request.clone()));
+        let (end, mut retransmit_at) = (now + TRANSACTION_TIMEOUT, None);
         if hop.transport == Transport::Udp {
-            resend_at = Some(now + T1);
-            out.push(Out::Wake(now + T1, Alarm::Client(key.clone())));
+            retransmit_at = Some(now + T1);
+            out.push(TransactionOutput::StartTimer(now + T1, TransactionTimer::Client(key.clone())));
         }
-        out.push(Out::Wake(end, Alarm::Client(key.clone())));
-        let client = Client {
+        out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
+        let client = ClientTransaction {
             hop,
             state: State::Proceeding,
-            heard: false,
-            called_off: false,
-            told: false,
+            provisional_received: false,
+            cancelled: false,
+            outcome_reported: false,
             request,
             ack: None,
-            interval: T1,
-            resend_at,
-            ends_at: Some(end),
+            retransmit_interval: T1,
+            retransmit_at,
+            terminate_at: Some(end),
         };
-        self.client.insert(key.clone(), client);
+        self.clients.insert(key.clone(), client);
         Some(key)
     }
 
-    /// Calls an INVITE off: at once if anything was heard, else as soon as something is (RFC 3261, 9.1). It
-    /// is not sent again meanwhile, and stays for the answer that may cross.
-    pub fn call_off(&mut self, now: Time, key: &Key, out: &mut Vec<Out>) {
-        let Some(client) = self.client.get_mut(key) else { return };
-        if client.state != State::Proceeding || std::mem::replace(&mut client.called_off, true) {
+    /// Cancels an INVITE: at once if a provisional response was received, else when the first one arrives
+    /// (RFC 3261, section 9.1). The INVITE is not retransmitted any more. Its transaction is kept for a final
+    /// response that crosses the CANCEL.
+    pub fn cancel_invite(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        if client.state != State::Proceeding || std::mem::replace(&mut client.cancelled, true) {
             return;
         }
-        client.resend_at = None;
-        let end = now + LONG;
-        client.ends_at = Some(end);
-        out.push(Out::Wake(end, Alarm::Client(key.clone())));
-        if client.heard {
-            self.cancel(now, key, out);
+        client.retransmit_at = None;
+        let end = now + TRANSACTION_TIMEOUT;
+        client.terminate_at = Some(end);
+        out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
+        if client.provisional_received {
+            self.send_cancel(now, key, out);
         }
     }
 
-    fn cancel(&mut self, now: Time, key: &Key, out: &mut Vec<Out>) {
-        let Some(client) = self.client.get(key) else { return };
+    fn send_cancel(&mut self, now: Time, key: &TransactionKey, out: &mut Vec<TransactionOutput>) {
+        let Some(client) = self.clients.get(key) else { return };
         let hop = client.hop;
-        let cancel = follow_up(&client.request, "CANCEL", client.request.get("To"));
-        self.request(now, hop, cancel, out);
+        let cancel = request_like_invite(&client.request, "CANCEL", client.request.get("To"));
+        self.send_request(now, hop, cancel, out);
     }
 
-    fn on_response(&mut self, now: Time, message: Message, out: &mut Vec<Out>) {
+    fn on_response(&mut self, now: Time, message: Message, out: &mut Vec<TransactionOutput>) {
         let (Some(key), Some(status)) = (client_key(&message), message.status()) else { return };
-        let Some(client) = self.client.get_mut(&key) else { return };
-        let invite = key.method == "INVITE";
+        let Some(client) = self.clients.get_mut(&key) else { return };
+        let is_invite = key.method == "INVITE";
         match (client.state, status) {
             (State::Proceeding, 100..=199) => {
-                let first = !std::mem::replace(&mut client.heard, true);
-                if invite {
-                    client.resend_at = None;
-                    if !client.called_off {
-                        // How long it may ring is the core's to say.
-                        client.ends_at = None;
+                let first = !std::mem::replace(&mut client.provisional_received, true);
+                if is_invite {
+                    client.retransmit_at = None;
+                    if !client.cancelled {
+                        // The call table limits how long the exchange may ring.
+                        client.terminate_at = None;
                     }
                 } else {
-                    client.interval = T2;
+                    client.retransmit_interval = T2;
                 }
-                if client.called_off {
-                    if first && !client.told {
-                        self.cancel(now, &key, out);
+                if client.cancelled {
+                    if first && !client.outcome_reported {
+                        self.send_cancel(now, &key, out);
                     }
                     return;
                 }
-                out.push(Out::Response(key, message));
+                out.push(TransactionOutput::Response(key, message));
             }
             (State::Proceeding, _) => {
-                client.resend_at = None;
-                let success = invite && status < 300;
+                client.retransmit_at = None;
+                let success = is_invite && status < 300;
                 client.state = if success { State::Accepted } else { State::Completed };
-                let end = now + if invite { LONG } else { T4 };
-                client.ends_at = Some(end);
-                out.push(Out::Wake(end, Alarm::Client(key.clone())));
-                if invite && !success {
-                    let ack = follow_up(&client.request, "ACK", message.get("To"));
-                    out.push(Out::Send(client.hop, None, ack.clone()));
+                let end = now + if is_invite { TRANSACTION_TIMEOUT } else { T4 };
+                client.terminate_at = Some(end);
+                out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
+                if is_invite && !success {
+                    let ack = request_like_invite(&client.request, "ACK", message.get("To"));
+                    out.push(TransactionOutput::Send(client.hop, None, ack.clone()));
                     client.ack = Some(ack);
                 }
-                if success || !std::mem::replace(&mut client.told, true) {
-                    out.push(Out::Response(key, message));
+                if success || !std::mem::replace(&mut client.outcome_reported, true) {
+                    out.push(TransactionOutput::Response(key, message));
                 }
             }
             (State::Completed, 300..) => {
-                out.extend(client.ack.clone().map(|ack| Out::Send(client.hop, None, ack)));
+                out.extend(client.ack.clone().map(|ack| TransactionOutput::Send(client.hop, None, ack)));
             }
-            (State::Accepted, 200..=299) => out.push(Out::Response(key, message)),
+            (State::Accepted, 200..=299) => out.push(TransactionOutput::Response(key, message)),
             _ => {}
         }
     }
 
-    /// A timer has run down; one that is no longer wanted moves nothing.
-    pub fn fired(&mut self, now: Time, alarm: Alarm, out: &mut Vec<Out>) {
-        match alarm {
-            Alarm::Server(key) => {
-                let Some(server) = self.server.get_mut(&key) else { return };
-                if is_due(server.ends_at, now) {
-                    self.server.remove(&key);
-                } else if is_due(server.resend_at, now) {
-                    out.extend(server.last.clone().map(|last| Out::Send(server.hop, server.alt, last)));
-                    server.interval = (2.0 * server.interval).min(T2);
-                    let at = now + server.interval;
-                    server.resend_at = Some(at);
-                    out.push(Out::Wake(at, Alarm::Server(key)));
+    /// Handles an expired timer. A timer that was superseded has no effect.
+    pub fn on_timer(&mut self, now: Time, timer: TransactionTimer, out: &mut Vec<TransactionOutput>) {
+        match timer {
+            TransactionTimer::Server(key) => {
+                let Some(server) = self.servers.get_mut(&key) else { return };
+                if is_due(server.terminate_at, now) {
+                    self.servers.remove(&key);
+                } else if is_due(server.retransmit_at, now) {
+                    out.extend(server.last_response.clone().map(|last_response| {
+                        TransactionOutput::Send(server.hop, server.fallback, last_response)
+                    }));
+                    server.retransmit_interval = (2.0 * server.retransmit_interval).min(T2);
+                    let at = now + server.retransmit_interval;
+                    server.retransmit_at = Some(at);
+                    out.push(TransactionOutput::StartTimer(at, TransactionTimer::Server(key)));
                 }
             }
-            Alarm::Client(key) => {
-                let Some(client) = self.client.get_mut(&key) else { return };
-                if is_due(client.ends_at, now) {
-                    let told = client.told || client.state != State::Proceeding;
-                    self.client.remove(&key);
-                    if !told {
-                        out.push(Out::Failed(key, Failure::Timeout));
+            TransactionTimer::Client(key) => {
+                let Some(client) = self.clients.get_mut(&key) else { return };
+                if is_due(client.terminate_at, now) {
+                    let outcome_reported = client.outcome_reported || client.state != State::Proceeding;
+                    self.clients.remove(&key);
+                    if !outcome_reported {
+                        out.push(TransactionOutput::Failed(key, TransactionFailure::Timeout));
                     }
-                } else if is_due(client.resend_at, now) {
-                    out.push(Out::Send(client.hop, None, client.request.clone()));
-                    client.interval *= 2.0;
+                } else if is_due(client.retransmit_at, now) {
+                    out.push(TransactionOutput::Send(client.hop, None, client.request.clone()));
+                    client.retransmit_interval *= 2.0;
                     if key.method != "INVITE" {
-                        client.interval = client.interval.min(T2);
+                        client.retransmit_interval = client.retransmit_interval.min(T2);
                     }
-                    let at = now + client.interval;
-                    client.resend_at = Some(at);
-                    out.push(Out::Wake(at, Alarm::Client(key)));
+                    let at = now + client.retransmit_interval;
+                    client.retransmit_at = Some(at);
+                    out.push(TransactionOutput::StartTimer(at, TransactionTimer::Client(key)));
                 }
             }
         }
     }
 
-    /// A connection has broken, or none came up. What waits there has failed; what a server owes does not
-    /// depend on its connection and goes another way.
-    pub fn broken(&mut self, now: Time, hop: Hop, failure: Failure, out: &mut Vec<Out>) {
-        for (key, client) in &mut self.client {
+    /// Handles a connection that was lost or could not be made: client transactions waiting on it fail.
+    /// Server transactions do not depend on their connection, because their responses can take another one.
+    pub fn on_connection_failed(
+        &mut self,
+        now: Time,
+        hop: Hop,
+        failure: TransactionFailure,
+        out: &mut Vec<TransactionOutput>,
+    ) {
+        for (key, client) in &mut self.clients {
             if client.hop != hop || client.state != State::Proceeding {
                 continue;
             }
-            // It stays for an answer that may still come.
-            client.called_off = true;
-            client.resend_at = None;
-            let end = now + LONG;
-            client.ends_at = Some(end);
-            out.push(Out::Wake(end, Alarm::Client(key.clone())));
-            if !std::mem::replace(&mut client.told, true) {
-                out.push(Out::Failed(key.clone(), failure));
+            // The transaction is kept for a final response that may still arrive.
+            client.cancelled = true;
+            client.retransmit_at = None;
+            let end = now + TRANSACTION_TIMEOUT;
+            client.terminate_at = Some(end);
+            out.push(TransactionOutput::StartTimer(end, TransactionTimer::Client(key.clone())));
+            if !std::mem::replace(&mut client.outcome_reported, true) {
+                out.push(TransactionOutput::Failed(key.clone(), failure));
             }
         }
     }
 }
 
-/// The key of a request or response as its client sees it.
-fn client_key(message: &Message) -> Option<Key> {
-    let branch = Via::read(message.get("Via")?)?.branch?.to_owned();
+/// Returns the key under which a client transaction handles its request and the responses.
+fn client_key(message: &Message) -> Option<TransactionKey> {
+    let branch = Via::parse(message.get("Via")?)?.branch?.to_owned();
     let method = message.cseq()?.1.to_owned();
-    Some(Key { branch, sent_by: String::new(), method })
+    Some(TransactionKey { branch, sent_by: String::new(), method })
 }
 
-/// The CANCEL of an INVITE, or the ACK of its refusal (RFC 3261, 9.1 and 17.1.1.3).
-fn follow_up(invite: &Message, method: &str, to: Option<&str>) -> Message {
-    let uri = match &invite.start {
-        super::message::Start::Request { uri, .. } => uri,
-        super::message::Start::Response { .. } => "",
+/// Creates the CANCEL of an INVITE, or the ACK of its final response other than 2xx (RFC 3261, sections 9.1
+/// and 17.1.1.3).
+fn request_like_invite(invite: &Message, method: &str, to: Option<&str>) -> Message {
+    let uri = match &invite.start_line {
+        super::message::StartLine::Request { uri, .. } => uri,
+        super::message::StartLine::Response { .. } => "",
     };
     let mut message = Message::request(method, uri);
-    message = message.with("Via", header::first(invite.get("Via").unwrap_or(""))).with("Max-Forwards", 70);
+    message =
+        message.with("Via", header::first_value(invite.get("Via").unwrap_or(""))).with("Max-Forwards", 70);
     message = message.with("From", invite.get("From").unwrap_or("")).with("To", to.unwrap_or(""));
     message = message.with("Call-ID", invite.get("Call-ID").unwrap_or(""));
     let routes = invite.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("Route"));
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -166,7 +166,7 @@
         for _ in 0..40 {
             let mut stream = TcpStream::connect(deployment.proxy.listen).await.expect("it accepts");
             let send_requests = async move {
-                let test = messages::options_request().bytes().repeat(100);
+                let test = messages::options_request().to_bytes().repeat(100);
                 // Ends when the proxy closes the connection.
                 for _ in 0..300 {
                     if stream.write_all(&test).await.is_err() {
--- a/tests/platform_loopback.rs
+++ b/tests/platform_loopback.rs
@@ -53,7 +53,7 @@
 
 impl StandInExchange {
     fn send_message(&mut self, message: &Message) {
-        self.streams[self.last_connection].write_all(&message.bytes()).expect("the message is sent");
+        self.streams[self.last_connection].write_all(&message.to_bytes()).expect("the message is sent");
     }
 
     fn receive(&mut self) -> Option<Message> {
@@ -212,7 +212,7 @@
 
 impl CallerExt for SipSocket {
     fn send_message(&mut self, message: &Message) {
-        assert!(self.send(&message.bytes()), "the message could not be sent");
+        assert!(self.send(&message.to_bytes()), "the message could not be sent");
     }
 
     /// Receives a message, which must be a request with this method or a response with this status.
@@ -261,7 +261,10 @@
     caller.send_message(&invite("a"));
     let seen = exchange.expect_message("INVITE");
     assert_eq!((seen.get("Call-ID"), seen.get("X-Tier")), (Some(id_of("a").as_str()), Some("alarm")));
-    assert_eq!((seen.start.clone(), seen.body.as_slice()), (invite("").start, &b"offer\r\n\0\xff"[..]));
+    assert_eq!(
+        (seen.start_line.clone(), seen.body.as_slice()),
+        (invite("").start_line, &b"offer\r\n\0\xff"[..])
+    );
     let left: u32 = seen.get("X-Deadline").and_then(|v| v.parse().ok()).expect("X-Deadline is a number");
     assert!(left <= 2000, "longer than the target of the class: {left}");
     exchange.send_message(&Message::response(503, "Full", &seen.headers).with("X-Outcome", "overload"));
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -12,7 +12,7 @@
 use mallowring::config::Config;
 use mallowring::net::Node;
 use mallowring::sip::header::{self, Transport};
-use mallowring::sip::message::{Framer, Message, Start, MOST};
+use mallowring::sip::message::{Framer, Message, StartLine, MAX_MESSAGE_BYTES};
 
 /// Read timeout that only a failed test reaches.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
@@ -109,14 +109,14 @@
     }
 
     pub fn receive(&mut self) -> Option<Message> {
-        let mut bytes = vec![0; MOST];
+        let mut bytes = vec![0; MAX_MESSAGE_BYTES];
         match self {
             SipSocket::Udp(socket, _) => {
                 let (n, _) = socket.recv_from(&mut bytes).ok()?;
-                Some(Message::datagram(&bytes[..n]).expect("a SIP message"))
+                Some(Message::parse_datagram(&bytes[..n]).expect("a SIP message"))
             }
             SipSocket::Tcp(stream, framer) => loop {
-                if let Some(message) = framer.pull().expect("framing") {
+                if let Some(message) = framer.next_message().expect("framing") {
                     return Some(message.expect("a SIP message"));
                 }
                 match stream.read(&mut bytes) {
@@ -183,7 +183,7 @@
     pub fn same_transaction(&self, invite: &Message, method: &str) -> Message {
         let mut message = invite.clone();
         message.body.clear();
-        if let Start::Request { method: m, .. } = &mut message.start {
+        if let StartLine::Request { method: m, .. } = &mut message.start_line {
             *m = method.to_owned();
         }
         message.headers.retain(|(n, _)| !["CSeq", "Contact", "Priority", "X-Deadline"].contains(&n.as_str()));
@@ -199,7 +199,7 @@
 
     /// A request within the dialog that a 200 response established.
     pub fn in_dialog(&self, success: &Message, method: &str) -> Message {
-        let target = header::address(success.get("Contact").expect("a Contact header"));
+        let target = header::addr_spec(success.get("Contact").expect("a Contact header"));
         let number = if method == "ACK" { 1 } else { 2 };
         Message::request(method, target)
             .with("Via", self.via())
@@ -215,7 +215,7 @@
     }
 
     pub fn try_send(&mut self, message: &Message) -> bool {
-        self.socket.send(&message.bytes())
+        self.socket.send(&message.to_bytes())
     }
 
     pub fn send_raw(&mut self, bytes: &[u8]) {
@@ -291,9 +291,9 @@
 impl Reply {
     fn send(&self, message: &Message) {
         match self {
-            Reply::Udp(socket, to) => drop(socket.send_to(&message.bytes(), to)),
+            Reply::Udp(socket, to) => drop(socket.send_to(&message.to_bytes(), to)),
             Reply::Tcp(stream) => {
-                drop(stream.lock().expect("no thread panicked").write_all(&message.bytes()))
+                drop(stream.lock().expect("no thread panicked").write_all(&message.to_bytes()))
             }
         }
     }
@@ -317,9 +317,9 @@
         let state = Arc::<(Mutex<State>, Condvar)>::default();
         let shared = state.clone();
         thread::spawn(move || {
-            let mut bytes = vec![0; MOST];
+            let mut bytes = vec![0; MAX_MESSAGE_BYTES];
             while let Ok((n, from)) = udp.recv_from(&mut bytes) {
-                let message = Message::datagram(&bytes[..n]).expect("the proxy sends valid SIP");
+                let message = Message::parse_datagram(&bytes[..n]).expect("the proxy sends valid SIP");
                 handle_request(&shared, addr, message, &Reply::Udp(udp.clone(), from));
             }
         });
@@ -413,13 +413,13 @@
     let Some(method) = message.method().map(str::to_owned) else { return };
     let call_id = message.get("Call-ID").expect("a Call-ID header").to_owned();
     let branch =
-        message.get("Via").and_then(|v| header::param(v, "branch")).expect("a branch in the Via header");
+        message.get("Via").and_then(|v| header::parameter(v, "branch")).expect("a branch in the Via header");
     let transaction = format!("{branch} {method}");
     let mut guard = shared.0.lock().expect("no thread panicked");
     let state = &mut *guard;
     if method == "INVITE" {
-        let Start::Request { uri, .. } = &message.start else { return };
-        let number = header::Uri::read(uri).expect("the request URI is a SIP URI").user.to_owned();
+        let StartLine::Request { uri, .. } = &message.start_line else { return };
+        let number = header::Uri::parse(uri).expect("the request URI is a SIP URI").user.to_owned();
         state.calls.insert(call_id.clone(), number);
     }
     let number = state.calls.get(&call_id).cloned().unwrap_or_default();
