--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::engine::EngineMail;
+use crate::net::engine::EngineMessage;
 
 /// Why a request to the store failed.
 #[derive(Debug, Error)]
@@ -36,7 +36,7 @@
 /// Access to the tenants for all administration interfaces.
 #[derive(Debug)]
 pub struct TenantStore {
-    engine: Sender<EngineMail>,
+    engine: Sender<EngineMessage>,
     file: Option<PathBuf>,
     /// Serialises changes, so that the file always holds the latest one.
     change_mutex: Mutex<()>,
@@ -45,14 +45,14 @@
 
 impl TenantStore {
     /// A store on the call table that the engine owns. Changes are also saved to `file` if there is one.
-    pub fn new(engine: Sender<EngineMail>, file: Option<PathBuf>) -> Self {
+    pub fn new(engine: Sender<EngineMessage>, file: Option<PathBuf>) -> Self {
         TenantStore { engine, file, change_mutex: Mutex::new(()), lock_holder: Cell::new(None) }
     }
 
     /// Returns all tenants with their counts.
     pub async fn list(&self) -> Result<Vec<(Tenant, Counts)>, StoreError> {
         let (reply, answer) = bounded(1);
-        self.engine.send(EngineMail::Tenants(reply)).await.map_err(|_| StoreError::ShuttingDown)?;
+        self.engine.send(EngineMessage::ListTenants(reply)).await.map_err(|_| StoreError::ShuttingDown)?;
         answer.recv().await.map_err(|_| StoreError::ShuttingDown)
     }
 
@@ -63,7 +63,10 @@
             return Err(StoreError::Locked(holder));
         }
         let (reply, answer) = bounded(1);
-        self.engine.send(EngineMail::Change(changes, reply)).await.map_err(|_| StoreError::ShuttingDown)?;
+        self.engine
+            .send(EngineMessage::ChangeTenants(changes, reply))
+            .await
+            .map_err(|_| StoreError::ShuttingDown)?;
         answer.recv().await.map_err(|_| StoreError::ShuttingDown)??;
         let Some(file) = self.file.clone() else { return Ok(()) };
         let tenants: Vec<Tenant> = self.list().await?.into_iter().map(|(tenant, _)| tenant).collect();
--- a/src/admin/netconf.rs
+++ b/src/admin/netconf.rs
@@ -17,7 +17,7 @@
 use super::xml::{self, Element};
 use super::{StoreError, TenantStore};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::{or_late, Tasks};
+use crate::net::{with_timeout, Executor};
 
 /// The namespace of NETCONF messages.
 pub const BASE_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
@@ -355,7 +355,7 @@
 /// The NETCONF server.
 pub struct Server {
     /// The executor that sessions run on.
-    pub tasks: Tasks,
+    pub tasks: Executor,
     /// The tenants.
     pub store: Rc<TenantStore>,
     /// The TLS configuration.
@@ -417,7 +417,7 @@
 
     async fn session(&self, id: u32, stream: TcpStream, sessions: &Sessions) -> std::io::Result<()> {
         let mut stream =
-            or_late(HANDSHAKE_TIMEOUT, TlsAcceptor::from(self.tls.clone()).accept(stream)).await?;
+            with_timeout(HANDSHAKE_TIMEOUT, TlsAcceptor::from(self.tls.clone()).accept(stream)).await?;
         let presented = stream.get_ref().1.peer_certificates().and_then(|chain| chain.first()).cloned();
         let client = self.clients.iter().find(|c| Some(&c.certificate) == presented.as_ref());
         let Some(client) = client else {
@@ -470,7 +470,7 @@
     let mut framer = Framer::default();
     stream.write_all(&framer.frame(&hello(id))).await?;
     stream.flush().await?;
-    let Some(client_hello) = or_late(HANDSHAKE_TIMEOUT, next_message(stream, &mut framer)).await? else {
+    let Some(client_hello) = with_timeout(HANDSHAKE_TIMEOUT, next_message(stream, &mut framer)).await? else {
         return Ok(());
     };
     let client_hello = xml::parse(&client_hello).map_err(std::io::Error::other)?;
--- a/src/config.rs
+++ b/src/config.rs
@@ -19,7 +19,7 @@
 use crate::interface::{ExchangeId, ExchangeNumber, Secs, Settings};
 use crate::limits::descriptors;
 use crate::limits::memory::DEFAULT_LIMIT_MB;
-use crate::net::bulletin::Source;
+use crate::net::roster::RosterSource;
 use crate::sip::agent::Exchange;
 use crate::sip::header::{Hop, Transport};
 use crate::wire;
@@ -90,7 +90,7 @@
     /// The address on which it accepts callers.
     pub listen: SocketAddr,
     /// The discovery service and the roster events already known.
-    pub roster_source: Source,
+    pub roster_source: RosterSource,
 }
 
 /// The environment and the node configuration as last read, to read the configuration again.
@@ -104,7 +104,7 @@
 impl ConfigSource {
     /// Reads the configuration again. An invalid one is logged with its key and changes nothing. Of a valid one, only the
     /// discovery service takes effect at once; changed keys that need a restart are logged.
-    pub fn reload(&mut self) -> Option<Source> {
+    pub fn reload(&mut self) -> Option<RosterSource> {
         let config = match Config::read(&self.env) {
             Ok(config) => config,
             Err(error) => {
@@ -385,8 +385,11 @@
                     .listen
                     .ok_or_else(|| source.key_error("listen", "missing, and NODE_LISTEN is not set"))?,
             };
-            let roster_source =
-                Source { addr: node.bulletin, known: node.known.items, known_no: node.known.no };
+            let roster_source = RosterSource {
+                addr: node.bulletin,
+                known_events: node.known.items,
+                last_known_event: node.known.no,
+            };
             platform = Some(Platform { listen, roster_source });
         }
         let reload_source = ConfigSource { env: env.clone(), node_file: node_value.unwrap_or_default() };
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! The system's clocks, and the actor that turns the one timer wheel.
+//! The wall clock, and the actor that runs the timer wheel shared by all actors.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,83 +6,85 @@
 use smol::future;
 use smol::Timer;
 
-use super::engine::EngineMail;
-use super::platform::FrontMail;
+use super::engine::EngineMessage;
+use super::platform::PlatformMessage;
 use super::post;
-use super::sip::SipMail;
+use super::sip::SipFrontMessage;
 use crate::calls::wheel::TimerWheel;
 use crate::calls::{CallEvent, CallTimer};
 use crate::interface::{Secs, Time};
 use crate::sip::agent::AgentTimer;
 
-/// Unix time as it was at the start plus what has passed since: it never goes back.
+/// Unix time that never goes back: the wall clock at start plus the monotonic time since.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Secs,
+    unix_start: Secs,
     start: Instant,
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// Starts a clock at the present system time.
     pub fn system() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_secs_f64(), start: Instant::now() }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_start: unix_start.as_secs_f64(), start: Instant::now() }
     }
 
-    /// Seconds of Unix time.
+    /// The present time in seconds since the Unix epoch.
     pub fn now(&self) -> Time {
-        Time(self.unix + self.start.elapsed().as_secs_f64())
+        Time(self.unix_start + self.start.elapsed().as_secs_f64())
     }
 }
 
-/// What is to be done when a time has come.
+/// A timer, and so the actor that is notified when it expires.
 #[derive(Debug)]
-pub enum Due {
-    /// The core wants to be woken.
-    Core(CallTimer),
-    /// The SIP front does.
+pub enum TimerKind {
+    /// A timer of the call table.
+    Call(CallTimer),
+    /// A timer of the SIP front.
     Sip(AgentTimer),
-    /// The platform's front looks after its connections.
-    Front,
+    /// The platform front's periodic check of its connections.
+    ConnectionCheck,
 }
 
-/// What the clock's actor is asked for.
-pub type Alarms = Sender<(Time, Due)>;
+/// The mailbox of the clock actor: timers with their expiry times.
+pub type TimerSender = Sender<(Time, TimerKind)>;
 
-/// Turns the wheel: takes alarms from its mailbox and posts each when it is due.
+/// Runs the clock actor: takes timers from its mailbox and notifies the owner of each when it expires.
 pub async fn run(
     clock: Clock,
-    mailbox: Receiver<(Time, Due)>,
-    engine: Sender<EngineMail>,
-    sip: Option<Sender<SipMail>>,
-    platform: Option<Sender<FrontMail>>,
+    mailbox: Receiver<(Time, TimerKind)>,
+    engine: Sender<EngineMessage>,
+    sip: Option<Sender<SipFrontMessage>>,
+    platform: Option<Sender<PlatformMessage>>,
 ) {
     let mut wheel = TimerWheel::new(clock.now());
     loop {
-        let got = match wheel.next_tick() {
+        let received = match wheel.next_tick() {
             None => mailbox.recv().await.map(Some),
-            Some(due) => {
-                let wait = Duration::from_secs_f64((due - clock.now()).max(0.0));
-                let tick = async {
+            Some(next) => {
+                let wait = Duration::from_secs_f64((next - clock.now()).max(0.0));
+                let expiry = async {
                     Timer::after(wait).await;
                     Ok(None)
                 };
-                future::or(async { mailbox.recv().await.map(Some) }, tick).await
+                future::or(async { mailbox.recv().await.map(Some) }, expiry).await
             }
         };
-        match got {
-            Ok(Some((at, due))) => wheel.insert(at, due),
+        match received {
+            Ok(Some((at, kind))) => wheel.insert(at, kind),
             Ok(None) => {}
             Err(_) => return,
         }
-        for due in wheel.take_due(clock.now()) {
-            match (due, &sip) {
-                (Due::Core(wake), _) => post(&engine, EngineMail::Input(CallEvent::TimerExpired(wake))).await,
-                (Due::Sip(alarm), Some(sip)) => post(sip, SipMail::Woken(alarm)).await,
-                (Due::Sip(_), None) => {}
-                (Due::Front, _) => {
+        for kind in wheel.take_due(clock.now()) {
+            match (kind, &sip) {
+                (TimerKind::Call(timer), _) => {
+                    post(&engine, EngineMessage::Input(CallEvent::TimerExpired(timer))).await
+                }
+                (TimerKind::Sip(alarm), Some(sip)) => post(sip, SipFrontMessage::TimerExpired(alarm)).await,
+                (TimerKind::Sip(_), None) => {}
+                (TimerKind::ConnectionCheck, _) => {
                     if let Some(platform) = &platform {
-                        post(platform, FrontMail::Look).await;
+                        post(platform, PlatformMessage::CheckConnections).await;
                     }
                 }
             }
--- a/src/net/peer/connections.rs
+++ b/src/net/peer/connections.rs
@@ -1,224 +1,267 @@
-//! The connections to one exchange: opened, lost, replaced and given up.
+//! The connections to one exchange: opening, loss, replacement and closing.
 
 use std::time::Duration;
 
 use smol::net::TcpStream;
 
-use super::{Connection, Peer, PeerMail, CONNECTIONS};
+use super::{Peer, PeerActorMessage, PeerConnection, MAX_CONNECTIONS};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::Purpose;
 use crate::membership::liveness::CloseKind;
-use crate::net::conn::Conn;
-use crate::net::or_late;
-use crate::net::permits::{Answer, Permit};
+use crate::net::conn::ConnectionHandle;
+use crate::net::permits::{Permit, PermitDecision};
+use crate::net::with_timeout;
 use crate::telemetry;
 
-/// Between two tries to connect.
+/// Pause in seconds before the next attempt to connect.
 const RECONNECT_DELAY: Secs = 0.2;
-/// Until another exchange has given a connection up.
-const GIVE_UP_DELAY: Secs = 0.02;
-/// A message that has begun and is not whole within this is no message.
-const WHOLE_WITHIN: Duration = Duration::from_millis(400);
-/// How long a connection is listened to after its way out was closed.
-const RETIRING: Secs = 1.0;
-/// The same where another exchange waits for its descriptor.
-const RETIRING_IN_NEED: Secs = 0.25;
+/// Pause in seconds before a permit is requested again, while another exchange gives a connection up.
+const PERMIT_RETRY_DELAY: Secs = 0.02;
+/// Time within which a message has to be complete, from its first byte.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long, in seconds, the read half of a retired connection stays open.
+const RETIRE_TIME: Secs = 1.0;
+/// The same when the descriptor is needed elsewhere, or the exchange drains.
+const RETIRE_TIME_URGENT: Secs = 0.25;
 
 impl Peer {
-    /// Opens what is missing, as far as the budget of connections allows.
+    /// Opens missing connections, as far as permits are granted.
     pub(super) fn connect(&mut self) {
-        while !self.retrying && self.condition == ServiceState::InService {
-            let there = self.connections.len() + self.connecting;
-            if there >= CONNECTIONS {
+        while !self.reconnect_scheduled && self.service_state == ServiceState::InService {
+            let connection_count = self.connections.len() + self.connecting;
+            if connection_count >= MAX_CONNECTIONS {
                 return;
             }
-            let needed = !self.waiting.is_empty() || self.liveness.call_count() > 0;
-            let purpose = match there {
+            let needed = !self.queued_commands.is_empty() || self.liveness.call_count() > 0;
+            let purpose = match connection_count {
                 0 if needed => Purpose::Needed,
                 0 => Purpose::Idle,
                 _ => Purpose::Another,
             };
-            match self.shared.permits.ask(self.office, purpose) {
-                Answer::Granted(permit) => self.open_connection(permit),
-                Answer::Wait => return self.connect_again_after(GIVE_UP_DELAY),
-                Answer::No if purpose == Purpose::Needed => return self.connect_again_after(RECONNECT_DELAY),
-                // It is asked for again when it is needed.
-                Answer::No => return,
+            match self.context.permits.request(self.exchange, purpose) {
+                PermitDecision::Granted(permit) => self.open_connection(permit),
+                PermitDecision::Wait => return self.schedule_reconnect(PERMIT_RETRY_DELAY),
+                PermitDecision::Denied if purpose == Purpose::Needed => {
+                    return self.schedule_reconnect(RECONNECT_DELAY)
+                }
+                // The permit is requested again when a connection is needed.
+                PermitDecision::Denied => return,
             }
         }
     }
 
-    fn connect_again_after(&mut self, seconds: Secs) {
-        if !std::mem::replace(&mut self.retrying, true) {
-            self.later(seconds, PeerMail::Retry);
+    fn schedule_reconnect(&mut self, seconds: Secs) {
+        if !std::mem::replace(&mut self.reconnect_scheduled, true) {
+            self.post_later(seconds, PeerActorMessage::Reconnect);
         }
     }
 
     pub(super) fn open_connection(&mut self, permit: Permit) {
         self.connecting += 1;
         let (addr, mailbox) = (self.addr, self.own_mailbox.clone());
-        let limit = Duration::from_secs_f64(self.shared.connect_timeout.max(0.001));
+        let timeout = Duration::from_secs_f64(self.context.connect_timeout.max(0.001));
         let connect = async move {
-            let got = or_late(limit, TcpStream::connect(addr)).await;
-            let _ = mailbox.send(PeerMail::Connected(got, permit)).await;
+            let connected = with_timeout(timeout, TcpStream::connect(addr)).await;
+            let _ = mailbox.send(PeerActorMessage::Connected(connected, permit)).await;
         };
-        self.shared.tasks.spawn(connect).detach();
+        self.context.tasks.spawn(connect).detach();
     }
 
     pub(super) fn connected(&mut self, stream: TcpStream, permit: Permit) {
         self.connecting -= 1;
-        self.suspect = false;
-        self.next += 1;
-        let no = self.next;
-        let wrap = move |heard| PeerMail::Heard(no, heard);
-        let (tasks, outboxes) = (&self.shared.tasks, &self.shared.outboxes);
-        let conn = Conn::open(tasks, outboxes, stream, self.own_mailbox.clone(), WHOLE_WITHIN, wrap);
-        conn.prove();
-        let since = self.now();
-        let connection = Connection {
-            conn,
+        self.last_connection_lost = false;
+        self.next_connection_id += 1;
+        let connection_id = self.next_connection_id;
+        let wrap = move |event| PeerActorMessage::Connection(connection_id, event);
+        let (tasks, send_queues) = (&self.context.tasks, &self.context.send_queues);
+        let handle = ConnectionHandle::open(
+            tasks,
+            send_queues,
+            stream,
+            self.own_mailbox.clone(),
+            MESSAGE_TIMEOUT,
+            wrap,
+        );
+        handle.mark_carries_calls();
+        let connected_at = self.now();
+        let connection = PeerConnection {
+            handle,
             _permit: permit,
-            since,
-            heard: since,
-            answered: since,
-            doubts: 0,
-            open: Default::default(),
+            connected_at,
+            last_received: connected_at,
+            last_answer: connected_at,
+            failure_signs: 0,
+            pending_set_ups: Default::default(),
         };
-        self.connections.insert(no, connection);
-        self.liveness.connection_opened(since, no);
+        self.connections.insert(connection_id, connection);
+        self.liveness.connection_opened(connected_at, connection_id);
         if std::mem::take(&mut self.verify_next) {
-            self.verifying = Some(no);
+            self.verifying_connection = Some(connection_id);
         }
-        tracing::debug!(office = self.office.0, connection = no, addr = %self.addr, "connected");
-        for (id, far) in std::mem::take(&mut self.waiting) {
-            self.put(id, far);
+        tracing::debug!(office = self.exchange.0, connection = connection_id, addr = %self.addr, "connected");
+        for (id, command) in std::mem::take(&mut self.queued_commands) {
+            self.send_command(id, command);
         }
     }
 
-    /// A connection does not come up. Where there is no other nothing ran, and if the last one was lost just before,
-    /// the process is dead.
-    pub(super) async fn refused(&mut self, error: std::io::Error) {
+    /// Handles a failed attempt to connect. If no connection is left, the queued set-ups fail, as none of them was
+    /// sent. If the attempt was refused just after the last connection was lost, the process is dead.
+    pub(super) async fn connect_failed(&mut self, error: std::io::Error) {
         self.connecting -= 1;
         self.verify_next = false;
         telemetry::exchange_connect_failed(&error);
-        tracing::debug!(office = self.office.0, %error, "connection refused");
+        tracing::debug!(office = self.exchange.0, %error, "connecting to the exchange failed");
         if self.connections.is_empty() && self.connecting == 0 {
-            self.fail_waiting().await;
-            // One that does not come up in time says less: the lease of the calls decides.
+            self.fail_queued_set_ups().await;
+            // A timeout proves less than a refusal: the liveness lease decides on the calls.
             let refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
-            if refused && std::mem::take(&mut self.suspect) {
-                self.died().await;
+            if refused && std::mem::take(&mut self.last_connection_lost) {
+                self.exchange_died().await;
             }
         }
-        self.connect_again_after(RECONNECT_DELAY);
+        self.schedule_reconnect(RECONNECT_DELAY);
     }
 
-    async fn died(&mut self) {
-        tracing::warn!(office = self.office.0, "exchange died: its calls are released");
-        self.suspect = false;
+    async fn exchange_died(&mut self) {
+        tracing::warn!(office = self.exchange.0, "exchange process is dead: its calls are released");
+        self.last_connection_lost = false;
         self.liveness.process_died();
-        self.tell(CallEvent::ExchangeDown(self.office)).await;
+        self.send_event(CallEvent::ExchangeDown(self.exchange)).await;
     }
 
-    pub(super) async fn lost(&mut self, no: u64, why: String, ours: bool, ending: CloseKind) {
-        let Some(lost) = self.connections.remove(&no) else { return };
-        self.liveness.connection_closed(self.now(), no, ending);
-        self.verifying = self.verifying.filter(|verifying| *verifying != no);
+    pub(super) async fn connection_lost(
+        &mut self,
+        connection_id: u64,
+        reason: String,
+        ended_by_proxy: bool,
+        ending: CloseKind,
+    ) {
+        let Some(lost) = self.connections.remove(&connection_id) else { return };
+        self.liveness.connection_closed(self.now(), connection_id, ending);
+        self.verifying_connection = self.verifying_connection.filter(|verifying| *verifying != connection_id);
         telemetry::exchange_connection_lost();
-        if ours {
-            // An answer may have crossed, or was the one that could not be read: nothing is left standing for it.
-            for (id, invite) in &lost.open {
+        if ended_by_proxy {
+            // The exchange may have answered these set-ups, perhaps in the message that could not be read. A release
+            // makes sure that it keeps no call established.
+            for (id, invite) in &lost.pending_set_ups {
                 let release = ExchangeCommand::Release { leg: Some(invite.leg) };
                 match self.connections.is_empty() {
-                    true => self.waiting.push_back((id.clone(), release)),
-                    false => self.put(id.clone(), release),
+                    true => self.queued_commands.push_back((id.clone(), release)),
+                    false => self.send_command(id.clone(), release),
                 }
             }
         }
         tracing::info!(
-            office = self.office.0,
-            connection = no,
-            why,
-            open = lost.open.len(),
-            "connection lost"
+            office = self.exchange.0,
+            connection = connection_id,
+            why = reason,
+            open = lost.pending_set_ups.len(),
+            "connection to the exchange lost"
         );
         let last = self.connections.is_empty();
-        self.suspect |= last;
+        self.last_connection_lost |= last;
         self.connect();
-        self.end_open(lost).await;
-        if last && self.condition == ServiceState::Draining {
-            // It has stopped. Whoever listens at its address next is another one, and is on the list as such.
-            self.died().await;
+        self.fail_pending_set_ups(lost).await;
+        if last && self.service_state == ServiceState::Draining {
+            // A draining exchange has stopped. A process that listens at its address later is another exchange, with
+            // its own roster entry.
+            self.exchange_died().await;
         }
     }
 
-    pub(super) async fn end_open(&mut self, connection: Connection) {
-        for (id, invite) in connection.open {
-            self.ended(id, Some(invite.leg), Outcome::Reset, Cause::Unspecified, LoadReport::default()).await;
+    pub(super) async fn fail_pending_set_ups(&mut self, connection: PeerConnection) {
+        for (id, invite) in connection.pending_set_ups {
+            self.set_up_failed(
+                id,
+                Some(invite.leg),
+                Outcome::Reset,
+                Cause::Unspecified,
+                LoadReport::default(),
+            )
+            .await;
         }
     }
 
-    /// Replaces a connection that brought no answer to what was sent last, once nothing is open on it.
-    pub(super) fn replace(&mut self, no: u64) {
-        if self.connections.get(&no).is_none_or(|c| c.doubts == 0 || !c.open.is_empty()) {
+    /// Replaces a connection with signs of failure, once no set-up is pending on it.
+    pub(super) fn replace_failing(&mut self, connection_id: u64) {
+        if self
+            .connections
+            .get(&connection_id)
+            .is_none_or(|c| c.failure_signs == 0 || !c.pending_set_ups.is_empty())
+        {
             return;
         }
-        tracing::info!(office = self.office.0, connection = no, "connection without answers: replaced");
-        self.finish(no, RETIRING);
+        tracing::info!(
+            office = self.exchange.0,
+            connection = connection_id,
+            "connection does not answer: replaced"
+        );
+        self.retire(connection_id, RETIRE_TIME);
         self.connect();
     }
 
-    /// Closes the connection that has been quiet the longest, where there are more than are wanted.
-    pub(super) fn finish_surplus(&mut self, keep: u64) {
-        if self.connections.len() > CONNECTIONS && self.verifying.is_none() {
-            if let Some(no) = self.quietest(Some(keep)) {
-                self.finish(no, RETIRING);
+    /// Closes the connection that has been quiet the longest, if there are too many and no liveness check uses one.
+    pub(super) fn close_surplus(&mut self, keep: u64) {
+        if self.connections.len() > MAX_CONNECTIONS && self.verifying_connection.is_none() {
+            if let Some(connection_id) = self.quietest(Some(keep)) {
+                self.retire(connection_id, RETIRE_TIME);
             }
         }
     }
 
-    /// The connection without open set-ups that has been quiet the longest.
+    /// The connection without pending set-ups that has been quiet the longest.
     fn quietest(&self, keep: Option<u64>) -> Option<u64> {
-        let free = self.connections.iter().filter(|(no, c)| Some(**no) != keep && c.open.is_empty());
-        free.min_by(|(_, a), (_, b)| a.heard.0.total_cmp(&b.heard.0)).map(|(no, _)| *no)
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(connection_id, c)| Some(**connection_id) != keep && c.pending_set_ups.is_empty());
+        idle.min_by(|(_, a), (_, b)| a.last_received.0.total_cmp(&b.last_received.0))
+            .map(|(connection_id, _)| *connection_id)
     }
 
-    /// Closes the way out of a connection; what the other side still says on it, as a release, is heard for a while.
-    fn finish(&mut self, no: u64, retiring: Secs) {
-        let Some(connection) = self.connections.remove(&no) else { return };
-        connection.conn.finish();
-        self.liveness.connection_closed(self.now(), no, CloseKind::Other);
-        self.verifying = self.verifying.filter(|verifying| *verifying != no);
-        self.retired.insert(no, (connection.conn, connection._permit));
-        self.later(retiring, PeerMail::Retired(no));
+    /// Closes the write half of a connection. What the exchange still sends on it, such as a release, is received for
+    /// `retire_time` seconds.
+    fn retire(&mut self, connection_id: u64, retire_time: Secs) {
+        let Some(connection) = self.connections.remove(&connection_id) else { return };
+        connection.handle.close_write();
+        self.liveness.connection_closed(self.now(), connection_id, CloseKind::Other);
+        self.verifying_connection = self.verifying_connection.filter(|verifying| *verifying != connection_id);
+        self.retired.insert(connection_id, (connection.handle, connection._permit));
+        self.post_later(retire_time, PeerActorMessage::RetirementOver(connection_id));
     }
 
-    /// Another exchange needs a connection more: the quietest goes, unless calls depend on it.
+    /// Closes the quietest connection, as another exchange needs one more urgently, unless calls depend on it.
     pub(super) async fn give_up_connection(&mut self) {
         let only = self.connections.len() + self.connecting <= 1;
         let quietest = self.quietest(None).filter(|_| !(only && self.is_busy()));
-        let Some(no) = quietest else { return self.shared.permits.keeps(self.office) };
-        tracing::debug!(office = self.office.0, connection = no, "connection given up for another exchange");
+        let Some(connection_id) = quietest else {
+            return self.context.permits.decline_release(self.exchange);
+        };
+        tracing::debug!(
+            office = self.exchange.0,
+            connection = connection_id,
+            "connection given up for another exchange"
+        );
         if self.liveness.call_count() > 0 {
-            return self.finish(no, RETIRING_IN_NEED);
+            return self.retire(connection_id, RETIRE_TIME_URGENT);
         }
-        self.connections.remove(&no);
-        self.liveness.connection_closed(self.now(), no, CloseKind::Other);
+        self.connections.remove(&connection_id);
+        self.liveness.connection_closed(self.now(), connection_id, CloseKind::Other);
         if self.connections.is_empty() {
-            // Its state is not told any longer.
-            self.tell(CallEvent::StatusLost(self.office)).await;
+            // Without a connection the state of the trunk group is no longer reported.
+            self.send_event(CallEvent::StatusLost(self.exchange)).await;
         }
     }
 
-    /// Nothing new goes to an exchange that drains: its connections are closed once nothing is left there.
+    /// Closes the connections to a draining exchange once it has no pending set-ups and no established calls.
     pub(super) fn close_if_drained(&mut self) {
-        if self.condition != ServiceState::Draining || self.is_busy() {
+        if self.service_state != ServiceState::Draining || self.is_busy() {
             return;
         }
-        let left: Vec<u64> = self.connections.keys().copied().collect();
-        for no in left {
-            self.finish(no, RETIRING_IN_NEED);
+        let remaining: Vec<u64> = self.connections.keys().copied().collect();
+        for connection_id in remaining {
+            self.retire(connection_id, RETIRE_TIME_URGENT);
         }
     }
 }
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -1,5 +1,5 @@
-//! The actor of one exchange on the platform's protocol: keeps connections open, sends set-ups, hears answers, releases
-//! and states.
+//! The actor of one exchange that speaks the platform's protocol. It keeps connections to the exchange open, sends it
+//! set-ups and releases, and receives answers, releases and trunk group states.
 
 mod calls;
 mod connections;
@@ -15,282 +15,320 @@
 use smol::Timer;
 
 use super::clock::Clock;
-use super::conn::{Conn, Heard, Outboxes, Over};
-use super::engine::EngineMail;
+use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
+use super::engine::EngineMessage;
 use super::permits::{Permit, Permits};
-use super::{post, Tasks};
+use super::{post, Executor};
 use crate::calls::{CallEvent, ExchangeCommand};
 use crate::interface::*;
 use crate::limits::connections::MAX_PER_EXCHANGE;
 use crate::membership::liveness::{CloseKind, FailureDetector, Timing};
 use crate::sip::message::Message;
 
-/// Connections to one exchange at best: what spoils one ends only the set-ups on it. States come on four at most.
-pub const CONNECTIONS: usize = MAX_PER_EXCHANGE;
+/// Most connections to one exchange. With several, the failure of one ends only the set-ups pending on it. An
+/// exchange sends its state on four connections at most.
+pub const MAX_CONNECTIONS: usize = MAX_PER_EXCHANGE;
 
-/// What the actor is told.
+/// Messages to the actor of an exchange.
 #[derive(Debug)]
-pub enum PeerMail {
-    /// A command for a call.
+pub enum PeerActorMessage {
+    /// A command of the call table for one call.
     Command(CallId, ExchangeCommand),
-    /// The list says so.
-    Condition(ServiceState),
-    /// The list says that its process started then.
-    Started(Time),
-    /// A connection has come up, or has not.
+    /// The service state on the roster.
+    StateChanged(ServiceState),
+    /// The start time of its process on the roster.
+    StartedAt(Time),
+    /// An attempt to connect has succeeded or failed.
     Connected(std::io::Result<TcpStream>, Permit),
-    /// A connection, by its number, brings something.
-    Heard(u64, Heard),
-    /// Time to connect again.
-    Retry,
-    /// Time to look whether the exchange is alive.
-    Check,
-    /// Another exchange needs a connection more.
+    /// An event of a connection, given by its id.
+    Connection(u64, ConnectionEvent),
+    /// Try again to open the missing connections.
+    Reconnect,
+    /// Run the liveness check.
+    CheckLiveness,
+    /// Another exchange needs a connection more urgently: close one if possible.
     GiveUpConnection,
-    /// A connection whose way out is closed has been listened to for long enough.
-    Retired(u64),
+    /// The time to keep the read half of a retired connection open is over.
+    RetirementOver(u64),
 }
 
-/// What all exchanges' actors need.
+/// Shared by the actors of all exchanges.
 #[derive(Clone)]
-pub struct Shared {
-    /// Where new actors start.
-    pub tasks: Tasks,
-    /// The proxy's name.
+pub struct PeerContext {
+    /// Executor of new actors.
+    pub tasks: Executor,
+    /// Name of this proxy.
     pub name: Rc<str>,
-    /// How long a connection may take to come up.
+    /// Time limit in seconds for opening a connection.
     pub connect_timeout: Secs,
-    /// Its clock.
+    /// The clock.
     pub clock: Clock,
-    /// The core.
-    pub engine: Sender<EngineMail>,
-    /// The connections to all exchanges.
+    /// Mailbox of the engine.
+    pub engine: Sender<EngineMessage>,
+    /// The permits for connections to all exchanges.
     pub permits: Rc<Permits>,
-    /// What waits to be written on all connections.
-    pub outboxes: Rc<Outboxes>,
+    /// The send queues of all connections.
+    pub send_queues: Rc<SendQueues>,
 }
 
-/// One connection.
-struct Connection {
-    conn: Conn,
+/// An open connection to the exchange.
+struct PeerConnection {
+    handle: ConnectionHandle,
     _permit: Permit,
-    /// When it came up.
-    since: Time,
-    /// When it last brought anything.
-    heard: Time,
-    /// When it last brought an answer to a set-up.
-    answered: Time,
-    /// Set-ups that were lost or ran out since.
-    doubts: u32,
-    /// Set-ups open on it.
-    open: BTreeMap<CallId, PendingInvite>,
+    /// When it was opened.
+    connected_at: Time,
+    /// When a message was last received on it.
+    last_received: Time,
+    /// When an answer to a set-up was last received on it; at first, when it was opened.
+    last_answer: Time,
+    /// Number of signs of failure since then: set-ups that were overtaken or timed out, and missing states.
+    failure_signs: u32,
+    /// Set-ups sent on it that are not answered.
+    pending_set_ups: BTreeMap<CallId, PendingInvite>,
 }
 
-/// A set-up that is out.
+/// A set-up that was sent and is not answered.
 struct PendingInvite {
     leg: u32,
     width: u32,
-    sent: Time,
-    until: Time,
-    /// It stands in this exchange's line alone: what overtakes it there shows that it is lost.
+    sent_at: Time,
+    expires_at: Time,
+    /// It goes straight to its destination and so waits at this exchange alone, in the order of sending. An answer to
+    /// a later set-up shows that this one is lost.
     direct: bool,
 }
 
+/// State of the actor.
 struct Peer {
-    office: ExchangeId,
+    exchange: ExchangeId,
     addr: SocketAddr,
-    shared: Shared,
-    own_mailbox: Sender<PeerMail>,
-    condition: ServiceState,
-    /// Connections by number; what one that is no longer here still brings is ignored.
-    connections: BTreeMap<u64, Connection>,
-    /// Connections whose way out is closed, for what the other side still says.
-    retired: BTreeMap<u64, (Conn, Permit)>,
-    next: u64,
+    context: PeerContext,
+    own_mailbox: Sender<PeerActorMessage>,
+    service_state: ServiceState,
+    /// Open connections by id. Events of other connections are ignored, except messages on retired ones.
+    connections: BTreeMap<u64, PeerConnection>,
+    /// Connections with a closed write half, kept for what the exchange still sends on them.
+    retired: BTreeMap<u64, (ConnectionHandle, Permit)>,
+    next_connection_id: u64,
+    /// Number of connections being opened.
     connecting: usize,
-    /// A try to connect is due.
-    retrying: bool,
-    /// The last connection was lost and no new one has come up since.
-    suspect: bool,
-    /// The latest sending of a set-up that stands.
-    latest_answered: Time,
-    /// What waits for a connection.
-    waiting: VecDeque<(CallId, ExchangeCommand)>,
-    given_up: VecDeque<CallId>,
+    /// A [`PeerActorMessage::Reconnect`] is scheduled.
+    reconnect_scheduled: bool,
+    /// The only remaining connection was lost, and no new one has been opened since.
+    last_connection_lost: bool,
+    /// The latest sending time of a direct set-up that was answered with success.
+    latest_answered_send: Time,
+    /// Commands that wait for a connection.
+    queued_commands: VecDeque<(CallId, ExchangeCommand)>,
+    /// The latest set-ups that were cancelled; an answer may have crossed the CANCEL.
+    cancelled: VecDeque<CallId>,
     liveness: FailureDetector,
-    /// When the next liveness check is due, if one is under way.
-    check_at: Option<Time>,
-    /// The last check came late and was put off.
-    put_off: bool,
-    /// A connection opened for a liveness check that has brought nothing yet.
-    verifying: Option<u64>,
-    /// The next connection that comes up is one.
+    /// When the next liveness check is due, if one is scheduled.
+    next_check_at: Option<Time>,
+    /// The last check ran late and was postponed.
+    check_postponed: bool,
+    /// A connection opened for a liveness check, on which nothing has been received yet.
+    verifying_connection: Option<u64>,
+    /// The next connection to be opened is for a liveness check.
     verify_next: bool,
-    /// What the budget of connections was last told.
-    busy: bool,
+    /// The value of [`Peer::is_busy`] last reported to the permits.
+    reported_busy: bool,
 }
 
-/// Starts the actor; it ends when its exchange is gone.
-pub fn start(shared: Shared, office: ExchangeId, addr: SocketAddr) -> Sender<PeerMail> {
-    // What is posted here is bounded by those who post: calls by their records, connections by the readers' turns.
-    let (mailbox, mail) = unbounded();
-    shared.permits.listed(office, mailbox.clone());
+/// Starts the actor of an exchange and returns its mailbox. It ends when the roster removes the exchange.
+pub fn start(context: PeerContext, exchange: ExchangeId, addr: SocketAddr) -> Sender<PeerActorMessage> {
+    // The senders bound what is queued here: the call table by its call records, the connections by throttled reads.
+    let (mailbox, messages) = unbounded();
+    context.permits.add_exchange(exchange, mailbox.clone());
     let peer = Peer {
-        office,
+        exchange,
         addr,
         own_mailbox: mailbox.clone(),
-        condition: ServiceState::InService,
+        service_state: ServiceState::InService,
         connections: BTreeMap::new(),
         retired: BTreeMap::new(),
-        next: 0,
+        next_connection_id: 0,
         connecting: 0,
-        retrying: false,
-        suspect: false,
-        latest_answered: shared.clock.now(),
-        waiting: VecDeque::new(),
-        given_up: VecDeque::new(),
+        reconnect_scheduled: false,
+        last_connection_lost: false,
+        latest_answered_send: context.clock.now(),
+        queued_commands: VecDeque::new(),
+        cancelled: VecDeque::new(),
         liveness: FailureDetector::new(Timing::default()),
-        check_at: None,
-        put_off: false,
-        verifying: None,
+        next_check_at: None,
+        check_postponed: false,
+        verifying_connection: None,
         verify_next: false,
-        busy: false,
-        shared,
+        reported_busy: false,
+        context,
     };
-    peer.shared.tasks.clone().spawn(peer.run(mail)).detach();
+    peer.context.tasks.clone().spawn(peer.run(messages)).detach();
     mailbox
 }
 
 impl Peer {
-    async fn run(mut self, mail: Receiver<PeerMail>) {
+    async fn run(mut self, messages: Receiver<PeerActorMessage>) {
         self.connect();
-        while let Ok(mail) = mail.recv().await {
-            if matches!(mail, PeerMail::Condition(ServiceState::Removed)) {
-                return self.end().await;
+        while let Ok(message) = messages.recv().await {
+            if matches!(message, PeerActorMessage::StateChanged(ServiceState::Removed)) {
+                return self.shut_down().await;
             }
-            self.take(mail).await;
-            self.plan_check();
-            self.tell_use();
+            self.handle_message(message).await;
+            self.schedule_check();
+            self.report_use();
             self.close_if_drained();
         }
     }
 
-    async fn take(&mut self, mail: PeerMail) {
-        match mail {
-            PeerMail::Command(id, far) => self.command(id, far).await,
-            PeerMail::Condition(condition) => self.condition(condition).await,
-            PeerMail::Started(at) => self.restarted(at).await,
-            PeerMail::Connected(Ok(stream), permit) => self.connected(stream, permit),
-            PeerMail::Connected(Err(error), permit) => {
+    async fn handle_message(&mut self, message: PeerActorMessage) {
+        match message {
+            PeerActorMessage::Command(id, command) => self.command(id, command).await,
+            PeerActorMessage::StateChanged(service_state) => self.set_service_state(service_state).await,
+            PeerActorMessage::StartedAt(at) => self.exchange_restarted(at).await,
+            PeerActorMessage::Connected(Ok(stream), permit) => self.connected(stream, permit),
+            PeerActorMessage::Connected(Err(error), permit) => {
                 drop(permit);
-                self.refused(error).await;
+                self.connect_failed(error).await;
             }
-            PeerMail::Heard(no, heard) if self.connections.contains_key(&no) => self.heard(no, heard).await,
-            PeerMail::Heard(no, Heard::Message(Ok(message))) if self.retired.contains_key(&no) => {
-                self.message(no, message).await;
+            PeerActorMessage::Connection(connection_id, event)
+                if self.connections.contains_key(&connection_id) =>
+            {
+                self.handle_connection_event(connection_id, event).await
             }
-            PeerMail::Heard(no, _) | PeerMail::Retired(no) => drop(self.retired.remove(&no)),
-            PeerMail::Retry => {
-                self.retrying = false;
+            PeerActorMessage::Connection(connection_id, ConnectionEvent::Message(Ok(message)))
+                if self.retired.contains_key(&connection_id) =>
+            {
+                self.handle_sip_message(connection_id, message).await;
+            }
+            PeerActorMessage::Connection(connection_id, _)
+            | PeerActorMessage::RetirementOver(connection_id) => drop(self.retired.remove(&connection_id)),
+            PeerActorMessage::Reconnect => {
+                self.reconnect_scheduled = false;
                 self.connect();
             }
-            PeerMail::Check => self.check().await,
-            PeerMail::GiveUpConnection => self.give_up_connection().await,
+            PeerActorMessage::CheckLiveness => self.check_liveness().await,
+            PeerActorMessage::GiveUpConnection => self.give_up_connection().await,
         }
     }
 
-    /// The exchange is gone. Whatever is still queued goes out before the connections close.
-    async fn end(mut self) {
-        tracing::info!(office = self.office.0, addr = %self.addr, "exchange gone");
-        self.condition = ServiceState::Removed;
-        self.shared.permits.gone(self.office);
+    /// Ends the actor after the exchange was removed. Queued messages are still sent before the connections close.
+    async fn shut_down(mut self) {
+        tracing::info!(office = self.exchange.0, addr = %self.addr, "exchange removed from the roster");
+        self.service_state = ServiceState::Removed;
+        self.context.permits.remove_exchange(self.exchange);
         let connections = std::mem::take(&mut self.connections);
-        self.fail_waiting().await;
+        self.fail_queued_set_ups().await;
         for connection in connections.into_values() {
-            self.end_open(connection).await;
+            self.fail_pending_set_ups(connection).await;
         }
     }
 
-    async fn condition(&mut self, condition: ServiceState) {
-        self.condition = condition;
-        if condition == ServiceState::Draining {
-            // Nothing that waited for a connection may leave once it drains.
-            self.fail_waiting().await;
+    async fn set_service_state(&mut self, service_state: ServiceState) {
+        self.service_state = service_state;
+        if service_state == ServiceState::Draining {
+            // A draining exchange must get no new set-ups, not even those that waited for a connection.
+            self.fail_queued_set_ups().await;
         }
     }
 
-    /// The list tells of a new start. A machine that vanished left its connections open and silent.
-    async fn restarted(&mut self, at: Time) {
+    /// The roster reports a new start of the process. If the old machine vanished, its connections are still open and
+    /// silent, so those from before the start are closed.
+    async fn exchange_restarted(&mut self, at: Time) {
         self.liveness.process_restarted(at);
-        let before = self.connections.iter().filter(|(_, c)| c.since < at);
-        let old: Vec<u64> = before.map(|(no, _)| *no).collect();
-        for no in old {
-            tracing::info!(office = self.office.0, connection = no, "exchange restarted: connecting again");
-            self.liveness.connection_closed(self.now(), no, CloseKind::Other);
-            if let Some(connection) = self.connections.remove(&no) {
-                self.end_open(connection).await;
+        let older = self.connections.iter().filter(|(_, c)| c.connected_at < at);
+        let stale: Vec<u64> = older.map(|(connection_id, _)| *connection_id).collect();
+        for connection_id in stale {
+            tracing::info!(
+                office = self.exchange.0,
+                connection = connection_id,
+                "exchange restarted: old connection closed"
+            );
+            self.liveness.connection_closed(self.now(), connection_id, CloseKind::Other);
+            if let Some(connection) = self.connections.remove(&connection_id) {
+                self.fail_pending_set_ups(connection).await;
             }
         }
         self.connect();
     }
 
-    async fn heard(&mut self, no: u64, heard: Heard) {
-        match heard {
-            Heard::Message(Ok(message)) => {
-                self.proof_of_life(no, &message);
-                self.message(no, message).await;
+    async fn handle_connection_event(&mut self, connection_id: u64, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Message(Ok(message)) => {
+                self.record_activity(connection_id, &message);
+                self.handle_sip_message(connection_id, message).await;
+            }
+            // After a malformed message the rest of the stream can't be trusted.
+            ConnectionEvent::Message(Err(error)) => {
+                self.connection_lost(connection_id, error.to_string(), true, CloseKind::Other).await
             }
-            // Nothing that follows on the same connection can be trusted.
-            Heard::Message(Err(fault)) => self.lost(no, fault.to_string(), true, CloseKind::Other).await,
-            Heard::Over(over) => {
-                let ours = !matches!(over, Over::Closed | Over::Broken(_));
-                let ending = if matches!(over, Over::Closed) { CloseKind::ByPeer } else { CloseKind::Other };
-                self.lost(no, format!("{over:?}"), ours, ending).await;
+            ConnectionEvent::Ended(close_reason) => {
+                let ended_by_proxy = !matches!(close_reason, CloseReason::Closed | CloseReason::Broken(_));
+                let ending = if matches!(close_reason, CloseReason::Closed) {
+                    CloseKind::ByPeer
+                } else {
+                    CloseKind::Other
+                };
+                self.connection_lost(connection_id, format!("{close_reason:?}"), ended_by_proxy, ending)
+                    .await;
             }
         }
     }
 
     fn now(&self) -> Time {
-        self.shared.clock.now()
+        self.context.clock.now()
     }
 
-    /// Set-ups are open here or wait, or calls stand.
+    /// Set-ups are pending or queued, or calls are established at the exchange.
     fn is_busy(&self) -> bool {
-        let open = self.connections.values().any(|c| !c.open.is_empty());
-        open || !self.waiting.is_empty() || self.liveness.call_count() > 0
+        let open = self.connections.values().any(|c| !c.pending_set_ups.is_empty());
+        open || !self.queued_commands.is_empty() || self.liveness.call_count() > 0
     }
 
-    fn tell_use(&mut self) {
+    fn report_use(&mut self) {
         let busy = self.is_busy();
-        if busy != self.busy {
-            self.busy = busy;
-            self.shared.permits.in_use(self.office, busy);
+        if busy != self.reported_busy {
+            self.reported_busy = busy;
+            self.context.permits.set_in_use(self.exchange, busy);
         }
     }
 
-    /// Posts something to this actor after a time.
-    fn later(&self, seconds: Secs, mail: PeerMail) {
+    /// Sends a message to this actor after a time.
+    fn post_later(&self, seconds: Secs, message: PeerActorMessage) {
         let mailbox = self.own_mailbox.clone();
         let wait = Duration::from_secs_f64(seconds.max(0.001));
-        let posted = async move {
+        let delayed = async move {
             Timer::after(wait).await;
-            let _ = mailbox.send(mail).await;
+            let _ = mailbox.send(message).await;
         };
-        self.shared.tasks.spawn(posted).detach();
+        self.context.tasks.spawn(delayed).detach();
     }
 
-    async fn tell(&self, input: CallEvent) {
-        post(&self.shared.engine, EngineMail::Input(input)).await;
+    async fn send_event(&self, input: CallEvent) {
+        post(&self.context.engine, EngineMessage::Input(input)).await;
     }
 
-    async fn ended(&self, id: CallId, leg: Option<u32>, outcome: Outcome, why: Cause, report: LoadReport) {
-        self.tell(CallEvent::SetUpFailed { id, exchange: self.office, leg, outcome, cause: why, report })
-            .await;
+    async fn set_up_failed(
+        &self,
+        id: CallId,
+        leg: Option<u32>,
+        outcome: Outcome,
+        reason: Cause,
+        report: LoadReport,
+    ) {
+        self.send_event(CallEvent::SetUpFailed {
+            id,
+            exchange: self.exchange,
+            leg,
+            outcome,
+            cause: reason,
+            report,
+        })
+        .await;
     }
 
-    fn write(&self, no: u64, message: &Message) {
-        if let Some(connection) = self.connections.get(&no) {
-            connection.conn.write(message);
+    fn write(&self, connection_id: u64, message: &Message) {
+        if let Some(connection) = self.connections.get(&connection_id) {
+            connection.handle.write(message);
         }
     }
 }
--- a/src/net/sip.rs
+++ b/src/net/sip.rs
@@ -1,5 +1,5 @@
-//! The actor of the SIP front: one socket for datagrams, connections in and out, and the agent that is the
-//! same for both.
+//! The SIP front: a UDP socket, TCP connections in both directions, and the SIP agent that handles the messages of
+//! both transports.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use smol::net::{TcpListener, TcpStream, UdpSocket};
 use smol::Timer;
 
-use super::clock::{Alarms, Clock, Due};
-use super::conn::{Conn, Heard, Outboxes, Over};
-use super::engine::EngineMail;
-use super::{or_late, post, Tasks};
+use super::clock::{Clock, TimerKind, TimerSender};
+use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
+use super::engine::EngineMessage;
+use super::{post, with_timeout, Executor};
 use crate::calls::{CallerCommand, ExchangeCommand};
 use crate::interface::*;
 use crate::sip::agent::{Agent, AgentConfig, AgentOutput, AgentTimer};
@@ -22,112 +22,118 @@
 use crate::sip::transaction::TransactionFailure;
 use crate::telemetry;
 
-/// Messages that may wait for a connection that is being made, and datagrams for the socket.
-const WAITING: usize = 256;
-/// The longest time from the first byte of a message to its last.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2200);
+/// Limit of the messages that wait for one connection to be opened, and of the datagrams that wait to be sent.
+const MAX_WAITING_MESSAGES: usize = 256;
+/// Time within which a message has to be complete, from its first byte.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// What the actor is told.
+/// Messages to the SIP front.
 #[derive(Debug)]
-pub enum SipMail {
-    /// The core answers a caller.
-    Near(CallId, CallerCommand),
-    /// The core tells an exchange.
-    Far(ExchangeId, CallId, ExchangeCommand),
-    /// A datagram has come in.
+pub enum SipFrontMessage {
+    /// A command of the call table to a caller.
+    ToCaller(CallId, CallerCommand),
+    /// A command of the call table to an exchange.
+    ToExchange(ExchangeId, CallId, ExchangeCommand),
+    /// A datagram was received.
     Datagram(SocketAddr, Vec<u8>),
-    /// Somebody has connected.
+    /// A connection was accepted.
     Accepted(TcpStream, SocketAddr),
-    /// A connection of ours has come up, or has not.
+    /// An attempt to connect has succeeded or failed.
     Connected(SocketAddr, std::io::Result<TcpStream>),
-    /// A connection, by its far end and its number, brings something.
-    Heard(SocketAddr, u64, Heard),
-    /// A timer has run down.
-    Woken(AgentTimer),
+    /// An event of a connection, given by its remote address and its id.
+    Connection(SocketAddr, u64, ConnectionEvent),
+    /// A timer of the SIP agent has expired.
+    TimerExpired(AgentTimer),
 }
 
-/// What the actor needs.
+/// What the SIP front needs from the rest of the proxy.
 pub struct SipFront {
-    /// Where new actors start.
-    pub tasks: Tasks,
-    /// Its clock.
+    /// Executor of new actors.
+    pub tasks: Executor,
+    /// The clock.
     pub clock: Clock,
-    /// The core.
-    pub engine: Sender<EngineMail>,
-    /// The own mailbox.
-    pub mailbox: Sender<SipMail>,
-    /// The clock's actor.
-    pub alarms: Alarms,
-    /// What waits to be written on all connections.
-    pub outboxes: Rc<Outboxes>,
-    /// How long a connection may take to come up.
+    /// Mailbox of the engine.
+    pub engine: Sender<EngineMessage>,
+    /// Mailbox of this front.
+    pub mailbox: Sender<SipFrontMessage>,
+    /// Mailbox of the clock actor.
+    pub timers: TimerSender,
+    /// The send queues of all connections.
+    pub send_queues: Rc<SendQueues>,
+    /// Time limit in seconds for opening a connection.
     pub connect_timeout: Secs,
-    /// The most connections.
-    pub most: usize,
+    /// Limit of connections.
+    pub max_connections: usize,
 }
 
 struct State {
     front: SipFront,
     agent: Agent,
     datagrams: Sender<(SocketAddr, Vec<u8>)>,
-    conns: BTreeMap<SocketAddr, (u64, Conn)>,
+    connections: BTreeMap<SocketAddr, (u64, ConnectionHandle)>,
     connecting: BTreeMap<SocketAddr, VecDeque<Message>>,
-    next: u64,
-    /// Datagrams that could not be read.
+    next_connection_id: u64,
+    /// Number of malformed datagrams received.
     malformed: u64,
 }
 
 impl SipFront {
-    /// Runs for ever.
-    pub async fn run(self, setup: AgentConfig, udp: UdpSocket, tcp: TcpListener, mail: Receiver<SipMail>) {
-        let (datagrams, queue) = bounded(WAITING);
-        self.tasks.spawn(send(udp.clone(), queue)).detach();
+    /// Runs the SIP front until its mailbox is closed.
+    pub async fn run(
+        self,
+        setup: AgentConfig,
+        udp: UdpSocket,
+        tcp: TcpListener,
+        messages: Receiver<SipFrontMessage>,
+    ) {
+        let (datagrams, datagram_queue) = bounded(MAX_WAITING_MESSAGES);
+        self.tasks.spawn(send(udp.clone(), datagram_queue)).detach();
         self.tasks.spawn(receive(udp, self.mailbox.clone())).detach();
         self.tasks.spawn(accept(tcp, self.mailbox.clone())).detach();
         let mut state = State {
             front: self,
             agent: Agent::new(setup),
             datagrams,
-            conns: BTreeMap::new(),
+            connections: BTreeMap::new(),
             connecting: BTreeMap::new(),
-            next: 0,
+            next_connection_id: 0,
             malformed: 0,
         };
-        let mut out = Vec::new();
-        state.agent.start(&mut out);
-        state.carry_out(&mut out).await;
-        while let Ok(mail) = mail.recv().await {
-            state.take(mail, &mut out);
-            state.carry_out(&mut out).await;
+        let mut outputs = Vec::new();
+        state.agent.start(&mut outputs);
+        state.apply_outputs(&mut outputs).await;
+        while let Ok(message) = messages.recv().await {
+            state.handle_message(message, &mut outputs);
+            state.apply_outputs(&mut outputs).await;
         }
     }
 }
 
-async fn send(udp: UdpSocket, queue: Receiver<(SocketAddr, Vec<u8>)>) {
-    while let Ok((addr, bytes)) = queue.recv().await {
+async fn send(udp: UdpSocket, datagram_queue: Receiver<(SocketAddr, Vec<u8>)>) {
+    while let Ok((addr, bytes)) = datagram_queue.recv().await {
         if let Err(error) = udp.send_to(&bytes, addr).await {
-            tracing::debug!(%addr, %error, "a datagram could not be sent");
+            tracing::debug!(%addr, %error, "sending a datagram failed");
         }
     }
 }
 
-async fn receive(udp: UdpSocket, mailbox: Sender<SipMail>) {
+async fn receive(udp: UdpSocket, mailbox: Sender<SipFrontMessage>) {
     let mut bytes = vec![0; MAX_MESSAGE_BYTES + 1];
     loop {
         match udp.recv_from(&mut bytes).await {
-            Ok((n, addr)) => post(&mailbox, SipMail::Datagram(addr, bytes[..n].to_vec())).await,
-            // An earlier datagram met a closed port; its timers see to it.
-            Err(error) => tracing::debug!(%error, "no datagram could be received"),
+            Ok((n, addr)) => post(&mailbox, SipFrontMessage::Datagram(addr, bytes[..n].to_vec())).await,
+            // An earlier datagram met a closed port. Its transaction retransmits it or times out.
+            Err(error) => tracing::debug!(%error, "receiving a datagram failed"),
         }
     }
 }
 
-async fn accept(tcp: TcpListener, mailbox: Sender<SipMail>) {
+async fn accept(tcp: TcpListener, mailbox: Sender<SipFrontMessage>) {
     loop {
         match tcp.accept().await {
-            Ok((stream, addr)) => post(&mailbox, SipMail::Accepted(stream, addr)).await,
+            Ok((stream, addr)) => post(&mailbox, SipFrontMessage::Accepted(stream, addr)).await,
             Err(error) => {
-                tracing::error!(%error, "no connection could be accepted");
+                tracing::error!(%error, "accepting a connection failed");
                 Timer::after(Duration::from_millis(20)).await;
             }
         }
@@ -139,116 +145,142 @@
 }
 
 impl State {
-    fn take(&mut self, mail: SipMail, out: &mut Vec<AgentOutput>) {
+    fn handle_message(&mut self, message: SipFrontMessage, outputs: &mut Vec<AgentOutput>) {
         let now = self.front.clock.now();
-        match mail {
-            SipMail::Near(id, near) => self.agent.send_to_caller(now, id, near, out),
-            SipMail::Far(office, id, far) => self.agent.send_to_exchange(now, office, id, far, out),
-            SipMail::Woken(alarm) => self.agent.on_timer(now, alarm, out),
-            SipMail::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, out),
-            SipMail::Accepted(stream, addr) => {
-                if self.conns.len() >= self.front.most {
-                    tracing::warn!(most = self.front.most, "too many SIP connections: one is closed");
+        match message {
+            SipFrontMessage::ToCaller(id, command) => self.agent.send_to_caller(now, id, command, outputs),
+            SipFrontMessage::ToExchange(exchange, id, command) => {
+                self.agent.send_to_exchange(now, exchange, id, command, outputs)
+            }
+            SipFrontMessage::TimerExpired(alarm) => self.agent.on_timer(now, alarm, outputs),
+            SipFrontMessage::Datagram(addr, bytes) => self.datagram(now, addr, &bytes, outputs),
+            SipFrontMessage::Accepted(stream, addr) => {
+                if self.connections.len() >= self.front.max_connections {
+                    tracing::warn!(
+                        most = self.front.max_connections,
+                        "too many SIP connections: new one closed"
+                    );
                     return;
                 }
                 self.open(addr, stream);
             }
-            SipMail::Connected(addr, Ok(stream)) => {
+            SipFrontMessage::Connected(addr, Ok(stream)) => {
                 let waiting = self.connecting.remove(&addr).unwrap_or_default();
                 self.open(addr, stream);
                 for message in waiting {
                     self.write(addr, &message);
                 }
             }
-            SipMail::Connected(addr, Err(error)) => {
-                tracing::info!(%addr, %error, "no SIP connection came up");
+            SipFrontMessage::Connected(addr, Err(error)) => {
+                tracing::info!(%addr, %error, "opening a SIP connection failed");
                 self.connecting.remove(&addr);
-                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::Unreachable, out);
+                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::Unreachable, outputs);
             }
-            SipMail::Heard(addr, no, heard) => {
-                if self.conns.get(&addr).is_some_and(|(held, _)| *held == no) {
-                    self.heard(now, addr, heard, out);
+            SipFrontMessage::Connection(addr, connection_id, event) => {
+                if self.connections.get(&addr).is_some_and(|(current_id, _)| *current_id == connection_id) {
+                    self.handle_connection_event(now, addr, event, outputs);
                 }
             }
         }
     }
 
-    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], out: &mut Vec<AgentOutput>) {
+    fn datagram(&mut self, now: Time, addr: SocketAddr, bytes: &[u8], outputs: &mut Vec<AgentOutput>) {
         if bytes.iter().all(|b| matches!(b, b'\r' | b'\n' | 0)) {
-            return; // Keeps a way through a NAT open.
+            return; // A keep-alive for a NAT.
         }
-        let read = if bytes.len() > MAX_MESSAGE_BYTES { None } else { Some(Message::parse_datagram(bytes)) };
-        match read {
+        let parsed =
+            if bytes.len() > MAX_MESSAGE_BYTES { None } else { Some(Message::parse_datagram(bytes)) };
+        match parsed {
             Some(Ok(message)) => {
-                self.agent.receive(now, Hop { transport: Transport::Udp, addr }, message, out);
+                self.agent.receive(now, Hop { transport: Transport::Udp, addr }, message, outputs);
             }
-            Some(Err(fault)) => self.count(addr, fault.problem),
-            None => self.count(addr, "it is too long"),
+            Some(Err(fault)) => self.count_malformed(addr, fault.problem),
+            None => self.count_malformed(addr, "datagram is too long"),
         }
     }
 
-    fn count(&mut self, addr: SocketAddr, what: &str) {
+    fn count_malformed(&mut self, addr: SocketAddr, what: &str) {
         self.malformed += 1;
         tracing::warn!(%addr, what, count = self.malformed, "malformed datagram dropped");
     }
 
     fn open(&mut self, addr: SocketAddr, stream: TcpStream) {
-        self.next += 1;
-        let no = self.next;
-        let wrap = move |heard| SipMail::Heard(addr, no, heard);
-        let (tasks, outboxes) = (&self.front.tasks, &self.front.outboxes);
-        let conn = Conn::open(tasks, outboxes, stream, self.front.mailbox.clone(), WHOLE_WITHIN, wrap);
-        self.conns.insert(addr, (no, conn));
+        self.next_connection_id += 1;
+        let connection_id = self.next_connection_id;
+        let wrap = move |event| SipFrontMessage::Connection(addr, connection_id, event);
+        let (tasks, send_queues) = (&self.front.tasks, &self.front.send_queues);
+        let connection = ConnectionHandle::open(
+            tasks,
+            send_queues,
+            stream,
+            self.front.mailbox.clone(),
+            MESSAGE_TIMEOUT,
+            wrap,
+        );
+        self.connections.insert(addr, (connection_id, connection));
     }
 
     fn write(&mut self, addr: SocketAddr, message: &Message) -> bool {
-        self.conns.get(&addr).is_some_and(|(_, conn)| conn.write(message))
+        self.connections.get(&addr).is_some_and(|(_, connection)| connection.write(message))
     }
 
-    fn heard(&mut self, now: Time, addr: SocketAddr, heard: Heard, out: &mut Vec<AgentOutput>) {
-        match heard {
-            Heard::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, out),
-            Heard::Message(Err(fault)) => {
+    fn handle_connection_event(
+        &mut self,
+        now: Time,
+        addr: SocketAddr,
+        event: ConnectionEvent,
+        outputs: &mut Vec<AgentOutput>,
+    ) {
+        match event {
+            ConnectionEvent::Message(Ok(message)) => self.agent.receive(now, tcp(addr), message, outputs),
+            ConnectionEvent::Message(Err(fault)) => {
                 tracing::warn!(%addr, %fault, "malformed SIP message");
-                let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                if known && !fault.is_response {
+                let has_call_id = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
+                if has_call_id && !fault.is_response {
                     self.write(addr, &Message::response(400, "Bad Request", &fault.headers));
                 } else {
-                    // Nothing can be answered: the connection says so.
-                    self.conns.remove(&addr);
-                    self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::ConnectionLost, out);
+                    // No response is possible, so the connection is closed.
+                    self.connections.remove(&addr);
+                    self.agent.on_connection_failed(
+                        now,
+                        tcp(addr),
+                        TransactionFailure::ConnectionLost,
+                        outputs,
+                    );
                 }
             }
-            Heard::Over(over) => {
-                if !matches!(over, Over::Closed) {
-                    tracing::info!(%addr, ?over, "SIP connection lost");
+            ConnectionEvent::Ended(reason) => {
+                if !matches!(reason, CloseReason::Closed) {
+                    tracing::info!(%addr, over = ?reason, "SIP connection lost");
                 }
-                self.conns.remove(&addr);
-                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::ConnectionLost, out);
+                self.connections.remove(&addr);
+                self.agent.on_connection_failed(now, tcp(addr), TransactionFailure::ConnectionLost, outputs);
             }
         }
     }
 
-    async fn carry_out(&mut self, out: &mut Vec<AgentOutput>) {
-        for output in std::mem::take(out) {
+    /// Carries out the outputs of the SIP agent.
+    async fn apply_outputs(&mut self, outputs: &mut Vec<AgentOutput>) {
+        for output in std::mem::take(outputs) {
             match output {
                 AgentOutput::Send(hop, alt, message) => self.send(hop, alt, message),
                 AgentOutput::StartTimer(at, alarm) => {
-                    if self.front.alarms.try_send((at, Due::Sip(alarm))).is_err() {
-                        tracing::error!("the clock has ended: an alarm is lost");
+                    if self.front.timers.try_send((at, TimerKind::Sip(alarm))).is_err() {
+                        tracing::error!("the clock actor has ended: timer lost");
                     }
                 }
-                AgentOutput::CallTable(input) => post(&self.front.engine, EngineMail::Input(input)).await,
+                AgentOutput::CallTable(input) => post(&self.front.engine, EngineMessage::Input(input)).await,
             }
         }
     }
 
+    /// Sends a message to a hop. Over TCP it uses an open connection to the hop or to `alt`, or opens a new one.
     fn send(&mut self, hop: Hop, alt: Option<Hop>, message: Message) {
         if hop.transport == Transport::Udp {
             if self.datagrams.try_send((hop.addr, message.to_bytes())).is_err() {
-                // The transaction's timers send it again (RFC 3261, 17.1.1.2).
+                // The transaction retransmits it (RFC 3261, 17.1.1.2).
                 telemetry::datagram_dropped();
-                tracing::warn!(addr = %hop.addr, "datagrams wait too long: one is dropped");
+                tracing::warn!(addr = %hop.addr, "too many datagrams wait to be sent: one dropped");
             }
             return;
         }
@@ -256,21 +288,21 @@
         if self.write(hop.addr, &message) || alt.is_some_and(|alt| self.write(alt, &message)) {
             return;
         }
-        // A response goes where its Via says (RFC 3261, 18.2.2), a request where its address does.
+        // A response goes to the address in its Via (RFC 3261, 18.2.2), a request to the address of its URI.
         let addr = alt.filter(|_| message.status().is_some()).unwrap_or(hop.addr);
         let connecting = self.connecting.contains_key(&addr);
         let waiting = self.connecting.entry(addr).or_default();
-        if waiting.len() < WAITING {
+        if waiting.len() < MAX_WAITING_MESSAGES {
             waiting.push_back(message);
         }
         if connecting {
             return;
         }
         let mailbox = self.front.mailbox.clone();
-        let limit = Duration::from_secs_f64(self.front.connect_timeout);
+        let timeout = Duration::from_secs_f64(self.front.connect_timeout);
         let connect = async move {
-            let got = or_late(limit, TcpStream::connect(addr)).await;
-            post(&mailbox, SipMail::Connected(addr, got)).await;
+            let connected = with_timeout(timeout, TcpStream::connect(addr)).await;
+            post(&mailbox, SipFrontMessage::Connected(addr, connected)).await;
         };
         self.front.tasks.spawn(connect).detach();
     }
--- a/tests/sip_loopback.rs
+++ b/tests/sip_loopback.rs
@@ -8,7 +8,7 @@
 
 use mallowring::sip::header::Transport;
 use mallowring::sip::message::Message;
-use standin::{swap, Caller, Exchange, Proxy};
+use standin::{set_header, Caller, Exchange, Proxy};
 
 const TRANSPORT_PAIRS: [(Transport, Transport); 4] = [
     (Transport::Udp, Transport::Udp),
@@ -35,7 +35,7 @@
     caller.send(&invite);
     if script == "cancel" {
         exchange.wait_for(script, "INVITE");
-        caller.send(&caller.follow(&invite, "CANCEL"));
+        caller.send(&caller.same_transaction(&invite, "CANCEL"));
     }
     let response = caller.final_response("INVITE");
     let mut received = vec![format!("caller: {}", response.status().unwrap_or(0))];
@@ -55,7 +55,7 @@
         }
         _ => caller.send(&caller.ack(&invite, &response)),
     }
-    received.extend(exchange.settled(script));
+    received.extend(exchange.wait_for_end(script));
     received
 }
 
@@ -110,14 +110,14 @@
         caller.send(&invite);
         exchange.wait_for("answer-when-told", "INVITE");
         caller.reset();
-        let mut caller = caller.over(Transport::Udp);
+        let mut caller = caller.over_transport(Transport::Udp);
         caller.send(&invite);
         assert_eq!(
             caller.response("INVITE").status(),
             Some(100),
             "the INVITE matches its transaction, so no attempt is made"
         );
-        exchange.answer_now();
+        exchange.answer_held_set_up();
         let response = caller.final_response("INVITE");
         assert_eq!(response.status(), Some(200));
         // A retransmission after the answer is absorbed as well.
@@ -126,7 +126,7 @@
         // The dialog was established over TCP and continues over UDP.
         caller.send(&caller.in_dialog(&response, "BYE"));
         assert_eq!(caller.final_response("BYE").status(), Some(200));
-        assert_eq!(exchange.settled("answer-when-told"), ["INVITE", "ACK", "BYE"]);
+        assert_eq!(exchange.wait_for_end("answer-when-told"), ["INVITE", "ACK", "BYE"]);
     }
 }
 
@@ -142,10 +142,10 @@
             caller.send(&invite);
             let response = caller.final_response("INVITE");
             caller.send(&caller.in_dialog(&response, "ACK"));
-            let mut moved_caller = caller.over(then);
+            let mut moved_caller = caller.over_transport(then);
             moved_caller.send(&moved_caller.in_dialog(&response, "BYE"));
             assert_eq!(moved_caller.final_response("BYE").status(), Some(200));
-            assert_eq!(exchange.settled("answer"), ["INVITE", "ACK", "BYE"]);
+            assert_eq!(exchange.wait_for_end("answer"), ["INVITE", "ACK", "BYE"]);
         }
     }
 }
@@ -156,13 +156,13 @@
     let proxy = proxy(&exchange, Transport::Udp);
     type Alter = fn(&mut Message);
     let cases: [(Alter, u16); 8] = [
-        (|m| swap(m, "X-Tier", "no-such-class"), 488),
-        (|m| swap(m, "From", "<sip:a@stranger>;tag=s"), 403),
+        (|m| set_header(m, "X-Tier", "no-such-class"), 488),
+        (|m| set_header(m, "From", "<sip:a@stranger>;tag=s"), 403),
         (|m| m.start_line = Message::request("INVITE", "sip:nowhere@x").start_line, 404),
         (|m| m.start_line = Message::request("INVITE", "tel:+5021").start_line, 416),
-        (|m| swap(m, "X-Deadline", "soon"), 400),
-        (|m| swap(m, "Max-Forwards", "0"), 483),
-        (|m| swap(m, "Require", "100rel"), 420),
+        (|m| set_header(m, "X-Deadline", "soon"), 400),
+        (|m| set_header(m, "Max-Forwards", "0"), 483),
+        (|m| set_header(m, "Require", "100rel"), 420),
         (|m| m.headers.retain(|(n, _)| n != "Contact"), 400),
     ];
     for transport in [Transport::Udp, Transport::Tcp] {
@@ -178,13 +178,13 @@
         let mut caller = Caller::new(proxy.addr, transport);
         let unsent_invite = caller.invite("answer", 5000, b"");
         for (method, status) in [("BYE", 481), ("CANCEL", 481), ("OPTIONS", 200), ("REGISTER", 405)] {
-            let mut message = caller.follow(&unsent_invite, method);
-            swap(&mut message, "Via", &caller.via());
+            let mut message = caller.same_transaction(&unsent_invite, method);
+            set_header(&mut message, "Via", &caller.via());
             caller.send(&message);
             assert_eq!(caller.final_response(method).status(), Some(status), "{method}");
         }
     }
-    assert!(exchange.settled("answer").is_empty(), "no request reached the exchange");
+    assert!(exchange.wait_for_end("answer").is_empty(), "no request reached the exchange");
 }
 
 /// Guards the framing: after a malformed message, the stream stays open and the next message is read.
@@ -194,20 +194,20 @@
     let proxy = proxy(&exchange, Transport::Udp);
     let malformed = b"INVITE sip:x SIP/3.0\r\nCall-ID: c-9\r\nCSeq: 1 INVITE\r\nContent-Length: 3\r\n\r\nabc";
     let mut caller = Caller::new(proxy.addr, Transport::Tcp);
-    caller.raw(malformed);
-    let bad_request = caller.any();
+    caller.send_raw(malformed);
+    let bad_request = caller.next_message();
     assert_eq!((bad_request.status(), bad_request.get("Call-ID")), (Some(400), Some("c-9")));
     let options = |caller: &mut Caller| {
         let unsent_invite = caller.invite("answer", 5000, b"");
-        let mut message = caller.follow(&unsent_invite, "OPTIONS");
-        swap(&mut message, "Via", &caller.via());
+        let mut message = caller.same_transaction(&unsent_invite, "OPTIONS");
+        set_header(&mut message, "Via", &caller.via());
         caller.send(&message);
-        caller.any().status()
+        caller.next_message().status()
     };
     assert_eq!(options(&mut caller), Some(200), "the stream stays open");
     let mut caller = Caller::new(proxy.addr, Transport::Udp);
-    caller.raw(malformed);
-    caller.raw(b"\xff\xfe");
+    caller.send_raw(malformed);
+    caller.send_raw(b"\xff\xfe");
     assert_eq!(options(&mut caller), Some(200), "the malformed datagrams get no response");
 }
 
@@ -222,8 +222,8 @@
         let mut slow_reader = Caller::new(addr, Transport::Tcp);
         let unsent_invite = slow_reader.invite("answer", 5000, b"");
         for _ in 0..20_000 {
-            let mut message = slow_reader.follow(&unsent_invite, "OPTIONS");
-            swap(&mut message, "Via", &slow_reader.via());
+            let mut message = slow_reader.same_transaction(&unsent_invite, "OPTIONS");
+            set_header(&mut message, "Via", &slow_reader.via());
             // The proxy closes its connection eventually.
             if !slow_reader.try_send(&message) {
                 break;
