--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -13,7 +13,7 @@
 
 use crate::captures;
 use crate::day::Day;
-use crate::proxy::{Follow, Recorded, Shipped, Twin, Wire};
+use crate::proxy::{CallTrace, Capturing, ExternalProgram, Shipped, Twin};
 use crate::scenario::Scenario;
 use crate::study::stats::Verdict;
 use crate::study::sweep::{self, Axis};
@@ -352,7 +352,7 @@
             let arm = Arm::named(&candidate)?;
             let day = Day::draw(&scenario, seed);
             let calls = calls.into_iter().map(CallId).collect();
-            let mut seats = Follow::new(arm.seats()?, calls);
+            let mut seats = CallTrace::new(arm.seats()?, calls);
             let result = run(&day, &generate(&day), &mut seats, arm.salt)?;
             say(&seats.lines.join("\n"));
             Ok(!findings(&arm.name, &[result]))
@@ -390,7 +390,7 @@
         Task::Capture { scenario, seed, proxy, out } => {
             let scenario = Scenario::read(&scenario)?;
             let day = Day::draw(&scenario, seed);
-            let mut seats = Recorded::new(Tuning::default());
+            let mut seats = Capturing::new(Tuning::default());
             let result = run(&day, &generate(&day), &mut seats, 0)?;
             let Some(entries) = seats.captures.remove(&proxy) else {
                 return Err(LabError::Argument(format!("--proxy {proxy}: the day has {} proxies", day.n)));
@@ -470,7 +470,7 @@
     for seed in days.seeds() {
         let day = Day::draw(&scenario, seed);
         let callers = generate(&day);
-        let program = Wire::start("twin", program, Duration::from_secs(20))?;
+        let program = ExternalProgram::start("twin", program, Duration::from_secs(20))?;
         let mut seats = Twin::new(Shipped::new(Tuning::default()), program);
         run(&day, &callers, &mut seats, 0)?;
         decisions += seats.decisions;
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -16,15 +16,15 @@
 
 /// Figures of a processor.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Works {
+pub struct ProcessorParameters {
     /// Time of a set-up at full capacity, µs; 0 for no work at all.
     pub set_up_us: f64,
-    /// Work of a look, set-ups.
-    pub look: f64,
+    /// Work of inspecting an incoming call, set-ups.
+    pub inspect: f64,
     /// Work of turning away, set-ups.
     pub refuse: f64,
     /// Work of an answer or a release, set-ups.
-    pub follow: f64,
+    pub answer_or_release: f64,
     /// Longest wait of a set-up, µs.
     pub longest_wait_us: f64,
     /// What follows a set-up goes before new ones.
@@ -43,15 +43,15 @@
     pub fall_multiple: f64,
 }
 
-impl Works {
-    /// Work of a call that goes direct, set-ups: a look, a set-up, an answer and a release at either end.
+impl ProcessorParameters {
+    /// Work of a call that goes direct, set-ups: an inspection, a set-up, an answer and a release at either end.
     pub fn direct(&self) -> f64 {
-        self.look + 2.0 + 4.0 * self.follow
+        self.inspect + 2.0 + 4.0 * self.answer_or_release
     }
 
     /// Work of a call over a tandem.
     pub fn tandem(&self) -> f64 {
-        2.0 * self.look + 3.0 + 6.0 * self.follow
+        2.0 * self.inspect + 3.0 + 6.0 * self.answer_or_release
     }
 }
 
@@ -181,7 +181,7 @@
     /// Factors on all rates from a moment on, µs.
     pub bursts: Vec<(Us, f64)>,
     /// Processors.
-    pub works: Works,
+    pub processor: ProcessorParameters,
     /// Reports: period and delay, µs, and noise.
     pub report_period: Us,
     /// µs.
@@ -267,11 +267,11 @@
         let bursts = draw_bursts(scenario, end, rng);
         let p = &scenario.processor;
         let rules = &scenario.rules;
-        let mut works = Works {
+        let mut processor = ProcessorParameters {
             set_up_us: 0.0,
-            look: p.look.draw(rng),
+            inspect: p.look.draw(rng),
             refuse: p.refuse.draw(rng),
-            follow: p.follow.draw(rng),
+            answer_or_release: p.follow.draw(rng),
             longest_wait_us: p.longest_wait_ms.draw(rng) * 1000.0,
             finish_first: p.finish_first,
             cancel_drops: p.cancel_drops,
@@ -282,7 +282,7 @@
             fall_multiple: rules.fall_multiple.draw(rng),
         };
         // At the planned load an exchange gives and takes as many calls, all direct.
-        works.set_up_us = p.busy.draw(rng) / (calls * works.direct()) * SECOND as f64;
+        processor.set_up_us = p.busy.draw(rng) / (calls * processor.direct()) * SECOND as f64;
         let quota = calls * n as f64 * rules.quota.draw(rng);
         let used: Vec<(f64, f64)> =
             scenario.tenants.iter().map(|t| (t.share.draw(rng), t.usage.draw(rng))).collect();
@@ -310,7 +310,7 @@
             drift_span,
             offered: scenario.load.offered.draw(rng),
             bursts,
-            works,
+            processor,
             report_period: ms(scenario.reports.period_ms.draw(rng)).max(1),
             report_delay: ms(scenario.reports.delay_ms.draw(rng)),
             report_noise: scenario.reports.noise.draw(rng),
@@ -436,9 +436,9 @@
             "n_instances": self.n,
             "over_share_worth": self.over_share,
             "prices": {"late_fail": 0.03, "probe": 0.0, "waste": 0.02},
-            "rules": {"answer_slack": s(self.slack), "ask_every": 10.0, "cold_from": self.works.cold_from,
-                "drain_grace": s(self.drain), "fall": s(self.works.fall_us),
-                "fall_multiple": self.works.fall_multiple, "warm_within": self.works.cold_us / SECOND as f64},
+            "rules": {"answer_slack": s(self.slack), "ask_every": 10.0, "cold_from": self.processor.cold_from,
+                "drain_grace": s(self.drain), "fall": s(self.processor.fall_us),
+                "fall_multiple": self.processor.fall_multiple, "warm_within": self.processor.cold_us / SECOND as f64},
             "telemetry": {"fields": ["idle", "circuits", "reduce", "avg_ms"], "how": "piggyback"},
             "tenants": self.tenants.iter().map(tenant).collect::<Vec<_>>(),
             "tick": s(self.tick),
--- a/crates/lab/src/proxy/direct.rs
+++ b/crates/lab/src/proxy/direct.rs
@@ -8,7 +8,7 @@
 };
 use mallowring::interface::*;
 
-use super::{Seats, Told};
+use super::{EventsByProxy, ProxyFleet};
 use crate::day::Day;
 use crate::LabError;
 
@@ -86,7 +86,7 @@
     CallEffect::Exchange(office, request.id, ExchangeCommand::SetUp(set_up))
 }
 
-impl Seats for Direct {
+impl ProxyFleet for Direct {
     fn start(&mut self, _: &Day, proxy: usize, _: Time, _: u64) -> Result<(), LabError> {
         self.proxies.insert(proxy, One::default());
         Ok(())
@@ -97,7 +97,12 @@
         Ok(())
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         let mut commands = Vec::new();
         for (proxy, inputs) in told {
             let Some(one) = self.proxies.get_mut(&proxy) else { continue };
--- a/crates/lab/src/proxy/follow.rs
+++ b/crates/lab/src/proxy/follow.rs
@@ -3,23 +3,23 @@
 use mallowring::calls::{CallEffect, CallEvent, CallTimer};
 use mallowring::interface::{CallId, Time};
 
-use super::{Levels, Seats, Told};
+use super::{EventsByProxy, OverloadLevels, ProxyFleet};
 use crate::day::Day;
 use crate::day::EPOCH;
 use crate::LabError;
 
 /// A fleet with an ear.
-pub struct Follow<S> {
+pub struct CallTrace<S> {
     inner: S,
     calls: Vec<CallId>,
     /// What was heard, a line each.
     pub lines: Vec<String>,
 }
 
-impl<S> Follow<S> {
+impl<S> CallTrace<S> {
     /// Listens for these calls.
     pub fn new(inner: S, calls: Vec<CallId>) -> Self {
-        Follow { inner, calls, lines: Vec::new() }
+        CallTrace { inner, calls, lines: Vec::new() }
     }
 
     fn line(&mut self, now: Time, proxy: usize, what: &str) {
@@ -47,7 +47,7 @@
     }
 }
 
-impl<S: Seats> Seats for Follow<S> {
+impl<S: ProxyFleet> ProxyFleet for CallTrace<S> {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.inner.start(day, proxy, now, seed)
     }
@@ -56,7 +56,12 @@
         self.inner.stop(proxy)
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         for (proxy, inputs) in &told {
             for input in inputs {
                 if told_of(input).is_some_and(|id| self.calls.contains(id)) {
@@ -74,7 +79,7 @@
         Ok(())
     }
 
-    fn levels(&self, proxy: usize) -> Option<Levels> {
+    fn levels(&self, proxy: usize) -> Option<OverloadLevels> {
         self.inner.levels(proxy)
     }
 }
--- a/crates/lab/src/proxy/mod.rs
+++ b/crates/lab/src/proxy/mod.rs
@@ -9,10 +9,10 @@
 mod wire;
 
 pub use direct::Direct;
-pub use follow::Follow;
-pub use recorded::Recorded;
+pub use follow::CallTrace;
+pub use recorded::Capturing;
 pub use shipped::Shipped;
 pub use twin::{Difference, Twin};
-pub use wire::Wire;
+pub use wire::ExternalProgram;
 
-pub use crate::world::seats::{Levels, Seats, Told};
+pub use crate::world::fleet::{EventsByProxy, OverloadLevels, ProxyFleet};
--- a/crates/lab/src/proxy/recorded.rs
+++ b/crates/lab/src/proxy/recorded.rs
@@ -8,23 +8,23 @@
 use mallowring::interface::Time;
 use mallowring::Tuning;
 
-use super::{Levels, Seats, Shipped, Told};
+use super::{EventsByProxy, OverloadLevels, ProxyFleet, Shipped};
 use crate::day::Day;
 use crate::LabError;
 
 /// A fleet of them.
 #[derive(Debug)]
-pub struct Recorded {
+pub struct Capturing {
     inner: Shipped,
     tuning: Tuning,
     /// The captures, by proxy.
     pub captures: BTreeMap<usize, Vec<Entry>>,
 }
 
-impl Recorded {
+impl Capturing {
     /// Empty seats.
     pub fn new(tuning: Tuning) -> Self {
-        Recorded { inner: Shipped::new(tuning.clone()), tuning, captures: BTreeMap::new() }
+        Capturing { inner: Shipped::new(tuning.clone()), tuning, captures: BTreeMap::new() }
     }
 
     fn keep(&mut self, proxy: usize, at: Time, kind: EntryKind) {
@@ -34,7 +34,7 @@
     }
 }
 
-impl Seats for Recorded {
+impl ProxyFleet for Capturing {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         let name = |t: &crate::day::TenantDay| t.name.clone();
         let tenants = day.tenants.iter().map(name);
@@ -48,7 +48,12 @@
         self.inner.stop(proxy)
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         for (proxy, inputs) in told {
             for input in inputs {
                 self.keep(proxy, now, EntryKind::Event(input.clone()));
@@ -63,7 +68,7 @@
         Ok(())
     }
 
-    fn levels(&self, proxy: usize) -> Option<Levels> {
+    fn levels(&self, proxy: usize) -> Option<OverloadLevels> {
         self.inner.levels(proxy)
     }
 }
--- a/crates/lab/src/proxy/shipped.rs
+++ b/crates/lab/src/proxy/shipped.rs
@@ -5,7 +5,7 @@
 use mallowring::interface::Time;
 use mallowring::Tuning;
 
-use super::{Levels, Seats, Told};
+use super::{EventsByProxy, OverloadLevels, ProxyFleet};
 use crate::day::Day;
 use crate::LabError;
 
@@ -24,7 +24,7 @@
     }
 }
 
-impl Seats for Shipped {
+impl ProxyFleet for Shipped {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         if self.tables.len() <= proxy {
             self.tables.resize_with(proxy + 1, || None);
@@ -44,7 +44,12 @@
         Ok(())
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         for (proxy, inputs) in told {
             let Some(Some(table)) = self.tables.get_mut(proxy) else { continue };
             for input in inputs {
@@ -55,8 +60,11 @@
         Ok(())
     }
 
-    fn levels(&self, proxy: usize) -> Option<Levels> {
+    fn levels(&self, proxy: usize) -> Option<OverloadLevels> {
         let (own, far) = self.tables.get(proxy)?.as_ref()?.levels();
-        Some(Levels { own, far: far.into_iter().map(|(number, level)| (number.0 as usize, level)).collect() })
+        Some(OverloadLevels {
+            own,
+            far: far.into_iter().map(|(number, level)| (number.0 as usize, level)).collect(),
+        })
     }
 }
--- a/crates/lab/src/proxy/twin.rs
+++ b/crates/lab/src/proxy/twin.rs
@@ -7,7 +7,7 @@
 use mallowring::interface::{CallId, ExchangeId, Time};
 use serde::Serialize;
 
-use super::{Levels, Seats, Told};
+use super::{EventsByProxy, OverloadLevels, ProxyFleet};
 use crate::day::Day;
 use crate::day::EPOCH;
 use crate::LabError;
@@ -48,7 +48,7 @@
     apart: BTreeSet<usize>,
 }
 
-impl<A: Seats, B: Seats> Twin<A, B> {
+impl<A: ProxyFleet, B: ProxyFleet> Twin<A, B> {
     /// Puts two fleets side by side.
     pub fn new(first: A, second: B) -> Self {
         Twin { first, second, decisions: 0, differences: Vec::new(), apart: BTreeSet::new() }
@@ -72,7 +72,7 @@
     by_call
 }
 
-impl<A: Seats, B: Seats> Seats for Twin<A, B> {
+impl<A: ProxyFleet, B: ProxyFleet> ProxyFleet for Twin<A, B> {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.first.start(day, proxy, now, seed)?;
         self.second.start(day, proxy, now, seed)
@@ -83,7 +83,12 @@
         self.second.stop(proxy)
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         let mut second = Vec::new();
         let from = out.len();
         self.second.tick(now, told.clone(), &mut second)?;
@@ -107,7 +112,7 @@
         Ok(())
     }
 
-    fn levels(&self, proxy: usize) -> Option<Levels> {
+    fn levels(&self, proxy: usize) -> Option<OverloadLevels> {
         self.first.levels(proxy)
     }
 }
--- a/crates/lab/src/proxy/wire.rs
+++ b/crates/lab/src/proxy/wire.rs
@@ -15,7 +15,7 @@
 use mallowring::interface::*;
 use serde_json::{json, Map, Value};
 
-use super::{Seats, Told};
+use super::{EventsByProxy, ProxyFleet};
 use crate::day::Day;
 use crate::LabError;
 
@@ -72,7 +72,7 @@
 }
 
 /// A fleet whose proxies are all instances of one program.
-pub struct Wire {
+pub struct ExternalProgram {
     name: String,
     child: Child,
     input: Option<BufWriter<ChildStdin>>,
@@ -87,7 +87,7 @@
     events: Vec<Value>,
 }
 
-impl Wire {
+impl ExternalProgram {
     /// Starts the program; `patience` bounds the wait for each of its answers, in real time.
     pub fn start(name: &str, command: &[String], patience: Duration) -> Result<Self, LabError> {
         let fault = |what: String| LabError::Program { name: name.to_owned(), what };
@@ -115,7 +115,7 @@
                 }
             }
         });
-        Ok(Wire {
+        Ok(ExternalProgram {
             name: name.to_owned(),
             child,
             input,
@@ -468,7 +468,7 @@
     }
 }
 
-impl Seats for Wire {
+impl ProxyFleet for ExternalProgram {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.events.push(json!({"create": {"server": proxy, "seed": seed, "facts": day.facts(proxy)}}));
         let fresh = Instance { fresh: true, max_attempts: day.attempts, ..Instance::default() };
@@ -484,7 +484,12 @@
         Ok(())
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         // One input of each proxy at a time: what it does about the first is done before it hears the second, as
         // in the call table.
         let mut told: Vec<_> = told.into_iter().map(|(proxy, inputs)| (proxy, inputs.into_iter())).collect();
@@ -505,7 +510,7 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for ExternalProgram {
     fn drop(&mut self) {
         // The end of its input tells it to go; one that stays is ended.
         self.input = None;
--- a/crates/lab/src/study/arm.rs
+++ b/crates/lab/src/study/arm.rs
@@ -7,7 +7,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::proxy::{Seats, Shipped, Wire};
+use crate::proxy::{ExternalProgram, ProxyFleet, Shipped};
 use crate::scenario::read_toml;
 use crate::LabError;
 
@@ -122,11 +122,11 @@
     }
 
     /// A fleet of it.
-    pub fn seats(&self) -> Result<Box<dyn Seats>, LabError> {
+    pub fn seats(&self) -> Result<Box<dyn ProxyFleet>, LabError> {
         if self.program.is_empty() {
             Ok(Box::new(Shipped::new(self.tuning.clone())))
         } else {
-            Ok(Box::new(Wire::start(&self.name, &self.program, PATIENCE)?))
+            Ok(Box::new(ExternalProgram::start(&self.name, &self.program, PATIENCE)?))
         }
     }
 }
--- a/crates/lab/src/study/mod.rs
+++ b/crates/lab/src/study/mod.rs
@@ -78,14 +78,14 @@
         ("tries a call".to_owned(), day.ends.tries as f64 / calls),
         ("refused tries a call".to_owned(), day.ends.refused as f64 / calls),
         ("turned away as full, a call".to_owned(), day.ends.full as f64 / calls),
-        ("turned back, a call".to_owned(), day.ends.turned_back as f64 / calls),
+        ("turned back, a call".to_owned(), day.ends.cranked_back as f64 / calls),
         ("no circuit, a call".to_owned(), day.ends.no_circuit as f64 / calls),
         ("cut, a call".to_owned(), day.ends.cut as f64 / calls),
         ("over a tandem".to_owned(), day.tandem_share),
         ("processors busy".to_owned(), day.busy),
     ];
     for (class, waits) in scenario.classes.iter().zip(&day.waits) {
-        let wait = waits.ninety.unwrap_or(0.0);
+        let wait = waits.p90.unwrap_or(0.0);
         asides.push((format!("9 in 10 of {} stand within, s", class.name), wait));
     }
     asides
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -5,7 +5,7 @@
 use rand_distr::{Distribution, Exp1};
 use serde::Serialize;
 
-use crate::day::Works;
+use crate::day::ProcessorParameters;
 use crate::day::{Us, SECOND};
 use crate::random::{stream, Purpose};
 use crate::scenario::WorkTime;
@@ -80,12 +80,12 @@
 }
 
 /// A processor of the operators' kind whose set-ups take 20 ms.
-fn works() -> Works {
-    Works {
+fn works() -> ProcessorParameters {
+    ProcessorParameters {
         set_up_us: 20_000.0,
-        look: 0.0,
+        inspect: 0.0,
         refuse: 0.2,
-        follow: 0.0,
+        answer_or_release: 0.0,
         longest_wait_us: f64::INFINITY,
         finish_first: false,
         cancel_drops: false,
@@ -132,7 +132,8 @@
             debt += REFUSED[level];
             let refuse = debt >= 1.0;
             debt -= if refuse { 1.0 } else { 0.0 };
-            let (task, size) = if refuse { (Task::Refuse, works.refuse) } else { (Task::SetUpFar(0), 1.0) };
+            let (task, size) =
+                if refuse { (Task::Refuse, works.refuse) } else { (Task::ReceiveSetUp(0), 1.0) };
             done = processor.push(at, task, size, &mut work).or(done);
             next += gap * Distribution::<f64>::sample(&Exp1, &mut arrivals);
         }
--- a/crates/lab/src/study/verify.rs
+++ b/crates/lab/src/study/verify.rs
@@ -11,7 +11,7 @@
 use super::stats::{t_interval, Interval};
 use super::table;
 use crate::day::Day;
-use crate::proxy::{Direct, Seats, Shipped, Told};
+use crate::proxy::{Direct, EventsByProxy, ProxyFleet, Shipped};
 use crate::scenario::Scenario;
 use crate::traffic::generate;
 use crate::world::{run, DayResult};
@@ -103,7 +103,7 @@
 
 /// Little's law in a processor's line: the mean number there, over the rate of set-ups times their mean time there.
 fn little_in_line(day: &DayResult, set_up_s: f64) -> f64 {
-    let line = &day.lines[0];
+    let line = &day.queues[0];
     let all: f64 = line.present.iter().sum();
     let mean = line.present.iter().enumerate().map(|(k, t)| k as f64 * t).sum::<f64>() / all.max(1.0);
     let rate = line.served as f64 / (all / 1e6).max(1.0);
@@ -113,7 +113,7 @@
 /// Theory's other checks, which every run has to pass.
 fn conserved(name: &str, days: &[DayResult]) -> Vec<Check> {
     let leaks: Vec<f64> = days.iter().map(|d| (d.leaks.len() as u64 + d.broken_rules) as f64).collect();
-    let little: Vec<f64> = days.iter().map(|d| d.little[0] / d.little[1].max(1e-12)).collect();
+    let little: Vec<f64> = days.iter().map(|d| d.littles_law[0] / d.littles_law[1].max(1e-12)).collect();
     vec![
         check(format!("{name}: left over at the end, or rules broken"), 0.0, &leaks),
         check(format!("{name}: standing calls, mean over rate x time"), 1.0, &little),
@@ -146,16 +146,16 @@
         );
         let scenario = bare(4000.0 * scale, 100.0, 100_000, &processor)?;
         let days = runs(&scenario, 16)?;
-        let set_up = Day::draw(&scenario, 1).works.set_up_us / 1e6;
+        let set_up = Day::draw(&scenario, 1).processor.set_up_us / 1e6;
         let waits: Vec<f64> =
-            days.iter().map(|d| d.lines[0].waited / d.lines[0].served.max(1) as f64 / 1e6).collect();
+            days.iter().map(|d| d.queues[0].waited / d.queues[0].served.max(1) as f64 / 1e6).collect();
         checks.push(check(format!("M/M/1 at {busy}: mean wait, s"), busy * set_up / (1.0 - busy), &waits));
         let little: Vec<f64> = days.iter().map(|d| little_in_line(d, set_up)).collect();
         checks.push(check(format!("M/M/1 at {busy}: Little's law in the line"), 1.0, &little));
         for k in [0usize, 1, 2, 4, 8] {
             let present = |d: &DayResult| {
-                let all: f64 = d.lines[0].present.iter().sum();
-                d.lines[0].present.get(k).copied().unwrap_or(0.0) / all.max(1.0)
+                let all: f64 = d.queues[0].present.iter().sum();
+                d.queues[0].present.get(k).copied().unwrap_or(0.0) / all.max(1.0)
             };
             let shares: Vec<f64> = days.iter().map(present).collect();
             let expected = (1.0 - busy) * busy.powi(k as i32);
@@ -177,7 +177,7 @@
     spent: [u64; 5],
 }
 
-impl Seats for Watched {
+impl ProxyFleet for Watched {
     fn start(
         &mut self,
         day: &Day,
@@ -195,7 +195,7 @@
     fn tick(
         &mut self,
         now: mallowring::interface::Time,
-        told: Told,
+        told: EventsByProxy,
         out: &mut Vec<(usize, mallowring::calls::CallEffect)>,
     ) -> Result<(), LabError> {
         self.inner.tick(now, told, out)?;
@@ -287,7 +287,7 @@
                 }
             }
             spent.iter_mut().zip(seats.spent).for_each(|(all, s)| *all += s);
-            high = result.lines.iter().map(|l| l.longest).fold(high, usize::max);
+            high = result.queues.iter().map(|l| l.longest).fold(high, usize::max);
         }
         let all = spent.iter().sum::<u64>().max(1) as f64;
         let spent = spent.map(|s| s as f64 / all);
--- a/crates/lab/src/world/account.rs
+++ b/crates/lab/src/world/account.rs
@@ -81,7 +81,7 @@
         if fate.stood.is_some() {
             stood += 1;
             tandems += u64::from(fate.tandem);
-            useful += if fate.tandem { day.works.tandem() } else { day.works.direct() };
+            useful += if fate.tandem { day.processor.tandem() } else { day.processor.direct() };
         } else if fate.ended > aim {
             late += worth;
         }
@@ -104,8 +104,9 @@
     let worst_10_s = seconds.windows(WINDOW.min(seconds.len())).map(window).fold(1.0, f64::min);
     let whole = share(served, offered);
     let least = |list: &[f64]| list.iter().copied().fold(1.0, f64::min);
-    let asked = callers.len() as f64 * day.works.direct();
-    let wasted = if day.works.set_up_us > 0.0 { share((work.done - useful).max(0.0), asked) } else { 0.0 };
+    let asked = callers.len() as f64 * day.processor.direct();
+    let wasted =
+        if day.processor.set_up_us > 0.0 { share((work.done - useful).max(0.0), asked) } else { 0.0 };
     let tandem = if stood > 0 { tandems as f64 / stood as f64 } else { 0.0 };
     let late = if offered > 0.0 { late / offered } else { 0.0 };
     let deductions = [PRICES[0] * late, PRICES[1] * wasted.min(1.0), PRICES[2] * tandem];
@@ -127,11 +128,14 @@
     /// Calls that stood.
     pub stood: u64,
     /// Half of the calls stood within this.
-    pub half: Option<f64>,
+    #[serde(rename = "half")]
+    pub median: Option<f64>,
     /// 90 in 100 did.
-    pub ninety: Option<f64>,
+    #[serde(rename = "ninety")]
+    pub p90: Option<f64>,
     /// 99 in 100 did.
-    pub ninety_nine: Option<f64>,
+    #[serde(rename = "ninety_nine")]
+    pub p99: Option<f64>,
 }
 
 impl Waits {
@@ -153,7 +157,7 @@
     pub fn quantiles(&self) -> Vec<Quantiles> {
         let of = |h: &Histogram<u64>| {
             let at = |q: f64| (!h.is_empty()).then(|| h.value_at_quantile(q) as f64 / 1000.0);
-            Quantiles { stood: h.len(), half: at(0.5), ninety: at(0.9), ninety_nine: at(0.99) }
+            Quantiles { stood: h.len(), median: at(0.5), p90: at(0.9), p99: at(0.99) }
         };
         self.by_class.iter().map(of).collect()
     }
--- a/crates/lab/src/world/exchange.rs
+++ b/crates/lab/src/world/exchange.rs
@@ -69,7 +69,7 @@
     /// A processor takes its figures, to be known later.
     pub(super) fn take_figures(&mut self, exchange: usize) {
         let processor = &self.processors[exchange];
-        let longest = self.day.works.longest_wait_us;
+        let longest = self.day.processor.longest_wait_us;
         let wait = processor.wait(self.now);
         let normal: f64 = StandardNormal.sample(&mut self.report_rngs[exchange]);
         let noisy = (1.0 + self.day.report_noise * normal).max(0.0);
@@ -117,7 +117,7 @@
     /// A new processor starts in the place of a stopped one, cold.
     pub(super) fn start_processor(&mut self, exchange: usize) {
         let office = self.new_office(exchange);
-        let fresh = Processor::new(office, self.day.works, Some(self.now));
+        let fresh = Processor::new(office, self.day.processor, Some(self.now));
         let mut old = std::mem::replace(&mut self.processors[exchange], fresh);
         self.processors[exchange].slow = old.slow;
         old.stop();
--- a/crates/lab/src/world/seats.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -7,34 +7,39 @@
 use crate::LabError;
 
 /// What the proxies of a fleet were told in one tick, by proxy.
-pub type Told = Vec<(usize, Vec<CallEvent>)>;
+pub type EventsByProxy = Vec<(usize, Vec<CallEvent>)>;
 
-/// Levels of overload, 0 to 4, as one proxy sees them.
+/// OverloadLevels of overload, 0 to 4, as one proxy sees them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Levels {
+pub struct OverloadLevels {
     /// Of its own processor.
     pub own: usize,
     /// Of far ones in service, by exchange.
     pub far: Vec<(usize, usize)>,
 }
 
-impl Seats for Box<dyn Seats> {
+impl ProxyFleet for Box<dyn ProxyFleet> {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.as_mut().start(day, proxy, now, seed)
     }
     fn stop(&mut self, proxy: usize) -> Result<(), LabError> {
         self.as_mut().stop(proxy)
     }
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         self.as_mut().tick(now, told, out)
     }
-    fn levels(&self, proxy: usize) -> Option<Levels> {
+    fn levels(&self, proxy: usize) -> Option<OverloadLevels> {
         self.as_ref().levels(proxy)
     }
 }
 
 /// The signalling proxies of a fleet. They share nothing: each decides on its own inputs alone.
-pub trait Seats {
+pub trait ProxyFleet {
     /// A proxy starts, knowing nothing.
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError>;
 
@@ -42,10 +47,15 @@
     fn stop(&mut self, proxy: usize) -> Result<(), LabError>;
 
     /// Hands all that was told in one tick to the proxies and appends their commands in order.
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError>;
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError>;
 
     /// The levels of overload that a proxy sees, where it can be asked.
-    fn levels(&self, _proxy: usize) -> Option<Levels> {
+    fn levels(&self, _proxy: usize) -> Option<OverloadLevels> {
         None
     }
 }
--- a/crates/lab/src/world/flow.rs
+++ b/crates/lab/src/world/flow.rs
@@ -79,7 +79,7 @@
             self.ends.refused += 1;
             return self.try_ended(caller, cool_down);
         };
-        self.ends.turned_back += 1;
+        self.ends.cranked_back += 1;
         let why = if why == Cause::ProcessorFull { Cause::FarProcessorFull } else { Cause::Crankback };
         let back = self.legs[leg as usize].from;
         let at = self.arrival(at, back);
@@ -210,7 +210,7 @@
             self.work(proxy, Task::Refuse);
             return self.end_leg(leg, Outcome::NotSent, Cause::ProcessorFull);
         }
-        self.work(proxy, Task::SetUpNear(leg));
+        self.work(proxy, Task::SendSetUp(leg));
     }
 
     /// A proxy waits no longer for an attempt, or ends a call that stands.
@@ -274,8 +274,8 @@
         let caller = self.asks[ask as usize].caller;
         if self.callers[caller as usize].dest == to {
             // One that was given up meanwhile may still be worked on.
-            if alive || !self.day.works.cancel_drops {
-                self.work(to, Task::SetUpFar(leg));
+            if alive || !self.day.processor.cancel_drops {
+                self.work(to, Task::ReceiveSetUp(leg));
             }
             return;
         }
@@ -333,15 +333,17 @@
 
     /// Gives a processor work; what is no work at all is done at once.
     pub(super) fn work(&mut self, exchange: usize, task: Task) {
-        let works = &self.day.works;
+        let works = &self.day.processor;
         if self.processors[exchange].up == Up::Down {
             return;
         }
         let size = match task {
-            Task::Look => works.look,
+            Task::Look => works.inspect,
             Task::Refuse => works.refuse,
-            Task::SetUpNear(_) | Task::SetUpFar(_) => 1.0,
-            Task::AnswerFar(_) | Task::AnswerNear(_) | Task::ReleaseNear(_) | Task::Release => works.follow,
+            Task::SendSetUp(_) | Task::ReceiveSetUp(_) => 1.0,
+            Task::SendAnswer(_) | Task::ReceiveAnswer(_) | Task::ReleaseCircuits(_) | Task::Release => {
+                works.answer_or_release
+            }
         };
         if works.set_up_us <= 0.0 || size <= 0.0 {
             return self.done(exchange, task);
@@ -355,25 +357,25 @@
     fn done(&mut self, exchange: usize, task: Task) {
         match task {
             Task::Look | Task::Refuse | Task::Release => {}
-            Task::SetUpNear(leg) => {
+            Task::SendSetUp(leg) => {
                 // Whoever gave it up is here: it goes no further.
                 if self.legs[leg as usize].state == LegState::Flying {
                     let at = self.arrival(exchange, self.legs[leg as usize].to);
                     self.queue.put(at, Ev::SetUpAt(leg));
                 }
             }
-            Task::SetUpFar(leg) => match self.legs[leg as usize].state {
-                LegState::Flying => self.work(exchange, Task::AnswerFar(leg)),
+            Task::ReceiveSetUp(leg) => match self.legs[leg as usize].state {
+                LegState::Flying => self.work(exchange, Task::SendAnswer(leg)),
                 _ => self.work(exchange, Task::Release),
             },
-            Task::AnswerFar(leg) => match self.legs[leg as usize].state {
+            Task::SendAnswer(leg) => match self.legs[leg as usize].state {
                 LegState::Flying => {
                     let at = self.arrival(exchange, self.legs[leg as usize].from);
                     self.queue.put(at, Ev::AnswerAt(leg));
                 }
                 _ => self.work(exchange, Task::Release),
             },
-            Task::AnswerNear(leg) => {
+            Task::ReceiveAnswer(leg) => {
                 let l = &mut self.legs[leg as usize];
                 if l.state == LegState::Flying {
                     (l.state, l.answered) = (LegState::Answered, true);
@@ -385,7 +387,7 @@
                     );
                 }
             }
-            Task::ReleaseNear(leg) => self.release_told(leg, true),
+            Task::ReleaseCircuits(leg) => self.release_told(leg, true),
         }
     }
 
@@ -455,7 +457,7 @@
             if self.processors[near].up == Up::Down {
                 self.release_told(leg, true);
             } else {
-                self.work(near, Task::ReleaseNear(leg));
+                self.work(near, Task::ReleaseCircuits(leg));
             }
         }
         self.work(dest, Task::Release);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -4,13 +4,13 @@
 pub mod account;
 mod callers;
 mod exchange;
+pub mod fleet;
 mod flow;
 pub mod group;
 pub mod processor;
 mod queue;
 mod result;
 pub mod rules;
-pub mod seats;
 mod trouble;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,12 +20,12 @@
 use rand_pcg::Pcg64;
 
 use account::{Fate, Waits};
+use fleet::{EventsByProxy, ProxyFleet};
 use group::Group;
 use processor::Processor;
 use queue::Queue;
 pub use result::{DayResult, Ends, Sample};
 use rules::Watch;
-use seats::{Seats, Told};
 
 use crate::day::{Day, Us, EPOCH, SECOND};
 use crate::random::{noise, stream, Purpose};
@@ -178,7 +178,7 @@
 struct World<'a> {
     day: &'a Day,
     callers: &'a [Caller],
-    seats: &'a mut dyn Seats,
+    seats: &'a mut dyn ProxyFleet,
     salt: u64,
     now: Us,
     queue: Queue<Ev>,
@@ -221,7 +221,12 @@
 }
 
 /// Runs a day to its end. `salt` changes the seeds of the proxies and nothing else.
-pub fn run(day: &Day, callers: &[Caller], seats: &mut dyn Seats, salt: u64) -> Result<DayResult, LabError> {
+pub fn run(
+    day: &Day,
+    callers: &[Caller],
+    seats: &mut dyn ProxyFleet,
+    salt: u64,
+) -> Result<DayResult, LabError> {
     let mut world = World::new(day, callers, seats, salt);
     world.open_day()?;
     while let Some((at, event)) = world.queue.take() {
@@ -236,7 +241,7 @@
 }
 
 impl<'a> World<'a> {
-    fn new(day: &'a Day, callers: &'a [Caller], seats: &'a mut dyn Seats, salt: u64) -> Self {
+    fn new(day: &'a Day, callers: &'a [Caller], seats: &'a mut dyn ProxyFleet, salt: u64) -> Self {
         let n = day.n;
         let mut group_of = vec![usize::MAX; n * n];
         let groups: Vec<Group> = day.groups.iter().map(|(ends, size)| Group::new(*ends, *size)).collect();
@@ -290,7 +295,7 @@
     fn open_day(&mut self) -> Result<(), LabError> {
         for exchange in 0..self.day.n {
             let office = self.new_office(exchange);
-            self.processors.push(Processor::new(office, self.day.works, None));
+            self.processors.push(Processor::new(office, self.day.processor, None));
             let entry = self.entry(exchange, office, ServiceState::InService, None);
             self.news.push((0, entry));
             self.put_periodic(self.day.report_period, Ev::Figures(exchange));
@@ -329,7 +334,7 @@
             Ev::AnswerAt(leg) => {
                 if self.legs[leg as usize].state == LegState::Flying {
                     let near = self.legs[leg as usize].from;
-                    self.work(near, processor::Task::AnswerNear(leg));
+                    self.work(near, processor::Task::ReceiveAnswer(leg));
                 }
             }
             Ev::EndAt(leg, outcome, why) => self.end_leg(leg, outcome, why),
@@ -411,7 +416,7 @@
                 }
             }
         }
-        let mut told: Told = Vec::new();
+        let mut told: EventsByProxy = Vec::new();
         for (proxy, seat) in self.proxies.iter_mut().enumerate() {
             if seat.up && !seat.inbox.is_empty() {
                 told.push((proxy, std::mem::take(&mut seat.inbox)));
@@ -490,7 +495,7 @@
 }
 
 /// The exchanges that proxies are told to be gone.
-fn gone_offices(told: &Told) -> Vec<(usize, ExchangeId)> {
+fn gone_offices(told: &EventsByProxy) -> Vec<(usize, ExchangeId)> {
     let mut gone = Vec::new();
     for (proxy, inputs) in told {
         for input in inputs {
--- a/crates/lab/src/world/processor.rs
+++ b/crates/lab/src/world/processor.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64;
 
 use super::LegIx;
-use crate::day::Works;
+use crate::day::ProcessorParameters;
 use crate::day::{Us, SECOND};
 use crate::scenario::WorkTime;
 
@@ -19,15 +19,15 @@
     /// Turning a set-up away.
     Refuse,
     /// A set-up on its way out.
-    SetUpNear(LegIx),
+    SendSetUp(LegIx),
     /// A set-up at its destination.
-    SetUpFar(LegIx),
+    ReceiveSetUp(LegIx),
     /// The answer at the end that gives it.
-    AnswerFar(LegIx),
+    SendAnswer(LegIx),
     /// The answer at the end that sent the set-up.
-    AnswerNear(LegIx),
+    ReceiveAnswer(LegIx),
     /// The release at the end that sent the set-up: the circuits fall free with it.
-    ReleaseNear(LegIx),
+    ReleaseCircuits(LegIx),
     /// A release at any other end.
     Release,
 }
@@ -35,7 +35,7 @@
 impl Task {
     /// New set-ups and what is decided at the door; else it follows a set-up that was made.
     fn is_new(self) -> bool {
-        matches!(self, Task::Look | Task::Refuse | Task::SetUpNear(_) | Task::SetUpFar(_))
+        matches!(self, Task::Look | Task::Refuse | Task::SendSetUp(_) | Task::ReceiveSetUp(_))
     }
 }
 
@@ -58,7 +58,7 @@
 
 /// Time-weighted figures of a line, for holding the model against theory.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LineStats {
+pub struct QueueStats {
     /// Set-ups that began to be worked on.
     pub served: u64,
     /// Their waits in the line together, µs.
@@ -86,8 +86,8 @@
     /// Time it was busy, µs.
     pub busy: f64,
     /// What its line was like.
-    pub stats: LineStats,
-    works: Works,
+    pub stats: QueueStats,
+    parameters: ProcessorParameters,
     /// New set-ups, and what follows set-ups.
     lines: [VecDeque<Job>; 2],
     /// Work in each line, set-ups.
@@ -101,12 +101,12 @@
 
 /// Slack of the rule on cold processors, set-ups: chance alone makes a few.
 const COLD_SLACK: f64 = 4.0;
-/// Places of [`LineStats::present`].
+/// Places of [`QueueStats::present`].
 const PLACES: usize = 64;
 
 impl Processor {
     /// A warm one at the start of the day, or one that starts cold at `started`.
-    pub fn new(office: ExchangeId, works: Works, started: Option<Us>) -> Self {
+    pub fn new(office: ExchangeId, parameters: ProcessorParameters, started: Option<Us>) -> Self {
         Processor {
             office,
             up: Up::Running,
@@ -114,8 +114,8 @@
             slow: 1.0,
             done: 0.0,
             busy: 0.0,
-            stats: LineStats { present: vec![0.0; PLACES], ..LineStats::default() },
-            works,
+            stats: QueueStats { present: vec![0.0; PLACES], ..QueueStats::default() },
+            parameters,
             lines: Default::default(),
             waiting: [0.0; 2],
             current: None,
@@ -127,17 +127,17 @@
     /// Share of its full capacity that it has now; grows evenly from a cold start.
     pub fn capacity(&self, now: Us) -> f64 {
         let Some(at) = self.started else { return 1.0 };
-        let grown = now.saturating_sub(at) as f64 / self.works.cold_us.max(1.0);
-        (self.works.cold_from + (1.0 - self.works.cold_from) * grown).min(1.0)
+        let grown = now.saturating_sub(at) as f64 / self.parameters.cold_us.max(1.0);
+        (self.parameters.cold_from + (1.0 - self.parameters.cold_from) * grown).min(1.0)
     }
 
     fn is_cold(&self, now: Us) -> bool {
-        self.started.is_some_and(|at| (now.saturating_sub(at) as f64) < self.works.cold_us)
+        self.started.is_some_and(|at| (now.saturating_sub(at) as f64) < self.parameters.cold_us)
     }
 
     /// Time of one set-up now, µs.
     fn set_up_us(&self, now: Us) -> f64 {
-        self.works.set_up_us * self.slow / self.capacity(now).max(1e-6)
+        self.parameters.set_up_us * self.slow / self.capacity(now).max(1e-6)
     }
 
     /// Jobs present, the one at work included.
@@ -148,29 +148,29 @@
     /// The wait that a set-up would have that came now, µs.
     pub fn wait(&self, now: Us) -> f64 {
         let left = self.current.as_ref().map_or(0.0, |(_, until)| until.saturating_sub(now) as f64);
-        let behind = if self.works.finish_first { self.waiting[1] } else { 0.0 };
+        let behind = if self.parameters.finish_first { self.waiting[1] } else { 0.0 };
         left + (self.waiting[0] + behind) * self.set_up_us(now)
     }
 
     /// Whether it turns away a set-up that comes now.
     pub fn is_full(&self, now: Us) -> bool {
-        self.wait(now) > self.works.longest_wait_us
+        self.wait(now) > self.parameters.longest_wait_us
     }
 
     /// Notes a set-up that was sent here; returns whether it pushes a cold processor over: more than a multiple
     /// of what it can do at that moment, over the length of the window.
     pub fn note_set_up(&mut self, now: Us) -> bool {
-        if !self.is_cold(now) || self.works.set_up_us <= 0.0 {
+        if !self.is_cold(now) || self.parameters.set_up_us <= 0.0 {
             return false;
         }
-        let since = now.saturating_sub(self.works.fall_us);
+        let since = now.saturating_sub(self.parameters.fall_us);
         while self.sent_cold.front().is_some_and(|at| *at < since) {
             self.sent_cold.pop_front();
         }
         self.sent_cold.push_back(now);
-        let window = self.works.fall_us as f64;
-        let can = window / (self.works.set_up_us * self.slow) * self.capacity(now);
-        self.sent_cold.len() as f64 > self.works.fall_multiple * can + COLD_SLACK
+        let window = self.parameters.fall_us as f64;
+        let can = window / (self.parameters.set_up_us * self.slow) * self.capacity(now);
+        self.sent_cold.len() as f64 > self.parameters.fall_multiple * can + COLD_SLACK
     }
 
     fn line_of(&self, task: Task) -> usize {
@@ -197,16 +197,16 @@
         if self.current.is_some() {
             return None;
         }
-        let order = if self.works.finish_first { [1, 0] } else { [0, 1] };
+        let order = if self.parameters.finish_first { [1, 0] } else { [0, 1] };
         let line = order.into_iter().find(|l| !self.lines[*l].is_empty())?;
         let job = self.lines[line].pop_front()?;
         self.waiting[line] = if self.lines[line].is_empty() { 0.0 } else { self.waiting[line] - job.work };
-        let chance = match self.works.work {
+        let chance = match self.parameters.work {
             WorkTime::Fixed => 1.0,
             WorkTime::Exponential => Distribution::<f64>::sample(&Exp1, rng),
         };
         let took = job.work * self.set_up_us(now) * chance;
-        if matches!(job.task, Task::SetUpNear(_) | Task::SetUpFar(_)) {
+        if matches!(job.task, Task::SendSetUp(_) | Task::ReceiveSetUp(_)) {
             self.stats.served += 1;
             self.stats.waited += (now - job.queued) as f64;
         }
@@ -248,6 +248,6 @@
 
     /// Set-ups a second at full capacity.
     pub fn rate(&self) -> f64 {
-        SECOND as f64 / self.works.set_up_us.max(1e-6)
+        SECOND as f64 / self.parameters.set_up_us.max(1e-6)
     }
 }
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -23,7 +23,8 @@
     /// Tries that were turned down.
     pub refused: u64,
     /// Calls in transit that were turned back.
-    pub turned_back: u64,
+    #[serde(rename = "turned_back")]
+    pub cranked_back: u64,
     /// Callers that left early.
     pub left: u64,
     /// Requests that died with their proxy.
@@ -111,7 +112,8 @@
     /// What is left over at the end and should not be: a fault of the model.
     pub leaks: Vec<String>,
     /// Little's law over the standing calls: mean number, and rate times mean holding time.
-    pub little: [f64; 2],
+    #[serde(rename = "little")]
+    pub littles_law: [f64; 2],
     /// Events handled.
     pub events: u64,
     /// Set-ups asked for and blocked on each group.
@@ -119,7 +121,7 @@
     pub groups: Vec<(u64, u64)>,
     /// Lines of the processors in service at the end.
     #[serde(skip)]
-    pub lines: Vec<super::processor::LineStats>,
+    pub queues: Vec<super::processor::QueueStats>,
 }
 
 impl World<'_> {
@@ -192,10 +194,10 @@
             broken_rules: self.watch.count,
             broken: self.watch.broken,
             leaks,
-            little: [self.standing_area / span, rate * mean],
+            littles_law: [self.standing_area / span, rate * mean],
             events: self.events,
             groups: self.groups.iter().map(|g| (g.asked, g.blocked)).collect(),
-            lines: self.processors.into_iter().map(|p| p.stats).collect(),
+            queues: self.processors.into_iter().map(|p| p.stats).collect(),
         }
     }
 }
--- a/crates/lab/tests/capture.rs
+++ b/crates/lab/tests/capture.rs
@@ -9,7 +9,7 @@
 use mallowring::capture::{Entry, EntryKind};
 use mallowring::interface::{ExchangeId, LoadReport, Time};
 use mallowring::Tuning;
-use mallowring_lab::proxy::Recorded;
+use mallowring_lab::proxy::Capturing;
 
 /// The captures of a small day on which much goes wrong.
 fn captures() -> Vec<Vec<Entry>> {
@@ -19,7 +19,7 @@
          kind = \"proxy-restart\"\nat = 4\nexchanges = [1]\n[[trouble]]\nkind = \"replace\"\nat = 0\nseconds = 1\n\
          exchanges = [2]\ndrain_s = 2\n",
     );
-    let mut seats = Recorded::new(Tuning::default());
+    let mut seats = Capturing::new(Tuning::default());
     let day = play(&s, 3, &mut seats);
     assert_eq!(day.leaks, Vec::<String>::new());
     seats.captures.into_values().collect()
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use mallowring::interface::Time;
 use mallowring::Tuning;
 use mallowring_lab::day::Day;
-use mallowring_lab::proxy::{Direct, Seats, Shipped, Told};
+use mallowring_lab::proxy::{Direct, EventsByProxy, ProxyFleet, Shipped};
 use mallowring_lab::scenario::Scenario;
 use mallowring_lab::traffic::generate;
 use mallowring_lab::world::{run, DayResult};
@@ -25,7 +25,7 @@
 }
 
 /// A day with these proxies.
-pub fn play(scenario: &Scenario, seed: u64, seats: &mut dyn Seats) -> DayResult {
+pub fn play(scenario: &Scenario, seed: u64, seats: &mut dyn ProxyFleet) -> DayResult {
     let day = Day::draw(scenario, seed);
     run(&day, &generate(&day), seats, 0).expect("these proxies do not fail")
 }
@@ -42,14 +42,19 @@
     }
 }
 
-impl<F: FnMut(Time, &Told, &mut Vec<(usize, CallEffect)>)> Seats for Rogue<F> {
+impl<F: FnMut(Time, &EventsByProxy, &mut Vec<(usize, CallEffect)>)> ProxyFleet for Rogue<F> {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.inner.start(day, proxy, now, seed)
     }
     fn stop(&mut self, proxy: usize) -> Result<(), LabError> {
         self.inner.stop(proxy)
     }
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    fn tick(
+        &mut self,
+        now: Time,
+        told: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
         self.inner.tick(now, told.clone(), out)?;
         (self.sin)(now, &told, out);
         Ok(())
@@ -57,7 +62,7 @@
 }
 
 /// The ends of attempts that were told.
-pub fn ends(told: &Told) -> impl Iterator<Item = (usize, &CallEvent)> {
+pub fn ends(told: &EventsByProxy) -> impl Iterator<Item = (usize, &CallEvent)> {
     let all = told.iter().flat_map(|(proxy, inputs)| inputs.iter().map(move |i| (*proxy, i)));
     all.filter(|(_, input)| matches!(input, CallEvent::SetUpFailed { .. }))
 }
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -5,7 +5,7 @@
 use common::{ends, play, scenario, Rogue};
 use mallowring::calls::{CallEffect, CallEvent, CallerCommand, ExchangeCommand, Front, SetUp};
 use mallowring::interface::{Outcome, Time};
-use mallowring_lab::proxy::{Direct, Told};
+use mallowring_lab::proxy::{Direct, EventsByProxy};
 use mallowring_lab::world::rules::Rule;
 use mallowring_lab::world::DayResult;
 
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_second_final_answer() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
+    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         let answers =
             out.iter().filter(|(_, c)| matches!(c, CallEffect::Caller(_, _, CallerCommand::Refuse(_))));
         let twice: Vec<_> = answers.cloned().collect();
@@ -44,7 +44,7 @@
 
 #[test]
 fn no_final_answer() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
+    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, _, CallerCommand::Refuse(_))));
     });
     let day = play(&scenario(10, BUSY), 1, &mut rogue);
@@ -57,7 +57,7 @@
 
 #[test]
 fn an_answer_that_no_exchange_made() {
-    let mut rogue = Rogue::new(|_: Time, told: &Told, out: &mut Vec<(usize, CallEffect)>| {
+    let mut rogue = Rogue::new(|_: Time, told: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         for (proxy, input) in ends(told) {
             if let CallEvent::SetUpFailed { id, .. } = input {
                 out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, i, _) if i == id));
@@ -71,7 +71,7 @@
 
 #[test]
 fn two_attempts_at_once() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
+    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         let twice: Vec<_> = out.iter().filter(|(_, c)| set_up(c).is_some()).cloned().collect();
         out.extend(twice);
     });
@@ -79,8 +79,8 @@
 }
 
 /// Tries again at the same exchange, whatever became of the attempt, as often as `most` allows.
-fn again(most: u32) -> impl FnMut(Time, &Told, &mut Vec<(usize, CallEffect)>) {
-    move |now: Time, told: &Told, out: &mut Vec<(usize, CallEffect)>| {
+fn again(most: u32) -> impl FnMut(Time, &EventsByProxy, &mut Vec<(usize, CallEffect)>) {
+    move |now: Time, told: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         for (proxy, input) in ends(told) {
             let CallEvent::SetUpFailed { id, exchange: office, leg, .. } = input else { continue };
             if leg.unwrap_or(0) + 1 >= most {
@@ -113,7 +113,7 @@
     let crash = "[[trouble]]\nkind = \"crash\"\nat = 4\nexchanges = [1]\nback_s = 2\n";
     let mut resets = 0;
     let mut retry = again(4);
-    let mut rogue = Rogue::new(|now: Time, told: &Told, out: &mut Vec<(usize, CallEffect)>| {
+    let mut rogue = Rogue::new(|now: Time, told: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         let reset = |(_, i): &(usize, &CallEvent)| {
             matches!(i, CallEvent::SetUpFailed { outcome: Outcome::Reset, .. })
         };
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_send_to_the_own_exchange() {
-    let mut rogue = Rogue::new(|_: Time, _: &Told, out: &mut Vec<(usize, CallEffect)>| {
+    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         // Everybody sends where the first one of them does.
         let office = out.iter().find_map(|(_, c)| match c {
             CallEffect::Exchange(office, _, ExchangeCommand::SetUp(_)) => Some(*office),
--- a/crates/lab/tests/twin.rs
+++ b/crates/lab/tests/twin.rs
@@ -9,7 +9,7 @@
 use common::scenario;
 use mallowring::Tuning;
 use mallowring_lab::day::Day;
-use mallowring_lab::proxy::{Shipped, Twin, Wire};
+use mallowring_lab::proxy::{ExternalProgram, Shipped, Twin};
 use mallowring_lab::traffic::generate;
 use mallowring_lab::world::run;
 
@@ -41,7 +41,11 @@
     for trouble in troubles {
         let s = scenario(9, trouble);
         let day = Day::draw(&s, 3);
-        let wire = Wire::start("drill", &[program.to_string_lossy().into_owned()], Duration::from_secs(60));
+        let wire = ExternalProgram::start(
+            "drill",
+            &[program.to_string_lossy().into_owned()],
+            Duration::from_secs(60),
+        );
         let wire = wire.expect("it starts");
         let mut twin = Twin::new(Shipped::new(Tuning::default()), wire);
         run(&day, &generate(&day), &mut twin, 0).expect("both answer");
--- a/crates/lab/tests/world.rs
+++ b/crates/lab/tests/world.rs
@@ -19,7 +19,7 @@
     clean(&day);
     assert!(day.calls > 400, "{}", day.calls);
     assert!(day.service.whole > 0.95, "{}", day.service.whole);
-    assert!((day.little[0] / day.little[1] - 1.0).abs() < 1e-9, "{:?}", day.little);
+    assert!((day.littles_law[0] / day.littles_law[1] - 1.0).abs() < 1e-9, "{:?}", day.littles_law);
     // Every try ends once: it stands, is turned down, is left, or dies with its proxy.
     let ends = &day.ends;
     assert_eq!(ends.tries, ends.stood + ends.refused + ends.left + ends.lost);
