--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -23,9 +23,9 @@
     /// Whom a trouble hits.
     Trouble,
     /// Lengths of work at a processor.
-    Work,
+    ProcessorWork,
     /// Seeds of the proxies.
-    Seat,
+    ProxySeed,
     /// Resampling.
     Bootstrap,
 }
--- a/crates/lab/src/study/mod.rs
+++ b/crates/lab/src/study/mod.rs
@@ -77,7 +77,7 @@
         ("attempts a call".to_owned(), day.sends_per_call),
         ("tries a call".to_owned(), day.ends.tries as f64 / calls),
         ("refused tries a call".to_owned(), day.ends.refused as f64 / calls),
-        ("turned away as full, a call".to_owned(), day.ends.full as f64 / calls),
+        ("turned away as full, a call".to_owned(), day.ends.far_processor_full as f64 / calls),
         ("turned back, a call".to_owned(), day.ends.cranked_back as f64 / calls),
         ("no circuit, a call".to_owned(), day.ends.no_circuit as f64 / calls),
         ("cut, a call".to_owned(), day.ends.cut as f64 / calls),
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -102,7 +102,7 @@
     let works = works();
     let mut processor = Processor::new(ExchangeId(1), works, None);
     let mut arrivals = stream(seed, Purpose::Arrivals, 0);
-    let mut work = stream(seed, Purpose::Work, 0);
+    let mut work = stream(seed, Purpose::ProcessorWork, 0);
     let gap = works.set_up_us / offered;
     let (end, settled) = ((seconds * SECOND as f64) as Us, SECOND * 10);
     let (mut next, mut sample, mut done) = (0.0, SAMPLE, None::<(Us, u64)>);
--- a/crates/lab/src/traffic/mod.rs
+++ b/crates/lab/src/traffic/mod.rs
@@ -30,16 +30,16 @@
     pub number: u32,
     /// The call is beyond its tenant's share.
     pub over_share: bool,
-    /// Further tries it makes at most.
+    /// Highest number of redials.
     pub redials: u32,
-    /// It comes back when it is asked to.
-    pub heeds: bool,
-    /// It leaves after this share of its first try.
-    pub leaves: Option<f64>,
-    /// It comes again when its call is cut.
-    pub comes_again: bool,
-    /// Factor on its waits.
-    pub pace: f64,
+    /// Whether it redials after the requested cool-down.
+    pub heeds_cool_down: bool,
+    /// Share of the first request's time to live after which an impatient caller abandons it.
+    pub abandons_at: Option<f64>,
+    /// Whether it re-establishes its call after a cut.
+    pub reestablishes: bool,
+    /// Factor on its waits before redials.
+    pub wait_factor: f64,
 }
 
 /// Numbers at one exchange.
@@ -158,10 +158,10 @@
         number: below(rng, NUMBERS) as u32,
         over_share: false,
         redials: habits.redials.floor() as u32 + u32::from(unit(rng) < habits.redials.fract()),
-        heeds: unit(rng) < habits.heed,
-        leaves: (unit(rng) < habits.impatient).then(|| unit(rng)),
-        comes_again: unit(rng) < habits.come_again,
-        pace: 0.8 + 0.4 * unit(rng),
+        heeds_cool_down: unit(rng) < habits.heed,
+        abandons_at: (unit(rng) < habits.impatient).then(|| unit(rng)),
+        reestablishes: unit(rng) < habits.come_again,
+        wait_factor: 0.8 + 0.4 * unit(rng),
     }
 }
 
--- a/crates/lab/src/world/account.rs
+++ b/crates/lab/src/world/account.rs
@@ -1,4 +1,4 @@
-//! Service as the brief counts it: the worth of calls that stood in time and were never cut, over the worth offered.
+//! Service of a day: the worth of the calls that were established in time and never cut, over the worth offered.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -8,53 +8,55 @@
 use crate::day::{Us, SECOND};
 use crate::traffic::Caller;
 
-/// What became of one caller.
+/// The result of one caller's call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fate {
-    /// When its call stood, µs.
-    pub stood: Option<Us>,
-    /// It stood over a tandem.
+pub struct CallResult {
+    /// When the call was established, µs.
+    pub established_at: Option<Us>,
+    /// Whether the call was routed over a tandem.
     pub tandem: bool,
-    /// It was cut.
+    /// Whether the call was cut.
     pub cut: bool,
-    /// When its last try ended without standing, µs.
+    /// When the caller's latest attempt failed or the call was cut, µs.
     pub ended: Us,
-    /// Tries it made.
+    /// Number of times that the caller dialled.
     pub tries: u32,
 }
 
-/// Parts of the service. All are shares from 0 to 1.
+/// Service of a day and its parts. Except for `seconds`, all are shares from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Service {
-    /// The figure of the day: the parts weighed together, less the deductions; 0 if a rule was broken.
+    /// The score of the day: the weighted sum of the parts less the deductions; 0 if a rule was broken.
     pub figure: f64,
-    /// The whole run.
+    /// Service over the whole day.
     pub whole: f64,
-    /// The worst 10 s.
+    /// Service in the worst 10 s.
     pub worst_10_s: f64,
-    /// By class.
+    /// Service by class.
     pub classes: Vec<f64>,
-    /// By subscriber, within its share.
+    /// Service by tenant, for its calls within its share.
     pub tenants: Vec<f64>,
-    /// Served worth by second of the first try.
+    /// Served and offered worth by second of the first dialling.
     pub seconds: Vec<[f64; 2]>,
-    /// Points taken off: failing late, wasted work, tandems.
+    /// Deductions for late failures, wasted work and tandems.
     pub deductions: [f64; 3],
 }
 
-/// Weights of the parts ('How we count' of the operators' brief).
-const WEIGHTS: [f64; 4] = [0.3, 0.4, 0.2, 0.1];
-/// Points for all failing late, as much work wasted as was asked for, all over a tandem.
-const PRICES: [f64; 3] = [0.03, 0.02, 0.02];
-const WINDOW: usize = 10;
+/// Weights of the whole day, the worst 10 s, the worst class and the worst tenant, as the operators set them.
+const SCORE_WEIGHTS: [f64; 4] = [0.3, 0.4, 0.2, 0.1];
+/// Deductions if all calls fail late, if as much work is wasted as was asked for, and if all calls use a tandem.
+const DEDUCTION_WEIGHTS: [f64; 3] = [0.03, 0.02, 0.02];
+/// Length of the window for the worst service, seconds.
+const WORST_WINDOW_SECONDS: usize = 10;
 
-/// What counts beside the callers' fates.
+/// Work of the fleet.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work {
-    /// Done by all processors, set-ups.
+pub struct ProcessorWork {
+    /// Work done by all processors, in set-ups.
     pub done: f64,
 }
 
+/// `part` as a share of `all`; 1 if there is nothing to share.
 fn share(part: f64, all: f64) -> f64 {
     if all > 0.0 {
         part / all
@@ -63,26 +65,26 @@
     }
 }
 
-/// Counts the service of a day whose callers met these fates.
-pub fn service(day: &Day, callers: &[Caller], fates: &[Fate], work: Work) -> Service {
+/// Computes the service of a day from the results of its callers' calls.
+pub fn service(day: &Day, callers: &[Caller], call_results: &[CallResult], work: ProcessorWork) -> Service {
     let mut classes = vec![[0.0; 2]; day.classes.len()];
     let mut tenants = vec![[0.0; 2]; day.tenants.len()];
     let mut seconds = vec![[0.0; 2]; (day.end.div_ceil(SECOND) as usize).max(1)];
-    let (mut served, mut offered, mut late, mut stood, mut tandems) = (0.0, 0.0, 0.0, 0u64, 0u64);
+    let (mut served, mut offered, mut late, mut established, mut tandems) = (0.0, 0.0, 0.0, 0u64, 0u64);
     let mut useful = 0.0;
-    for (caller, fate) in callers.iter().zip(fates) {
+    for (caller, call_result) in callers.iter().zip(call_results) {
         let class = &day.classes[caller.class];
         let worth = class.worth * if caller.over_share { day.over_share } else { 1.0 };
         let aim = caller.at + (class.aim_s * SECOND as f64) as Us;
-        let value = match fate.stood {
-            Some(at) if !fate.cut => worth * if at <= aim { 1.0 } else { class.late_worth },
+        let value = match call_result.established_at {
+            Some(at) if !call_result.cut => worth * if at <= aim { 1.0 } else { class.late_worth },
             _ => 0.0,
         };
-        if fate.stood.is_some() {
-            stood += 1;
-            tandems += u64::from(fate.tandem);
-            useful += if fate.tandem { day.processor.tandem() } else { day.processor.direct() };
-        } else if fate.ended > aim {
+        if call_result.established_at.is_some() {
+            established += 1;
+            tandems += u64::from(call_result.tandem);
+            useful += if call_result.tandem { day.processor.tandem() } else { day.processor.direct() };
+        } else if call_result.ended > aim {
             late += worth;
         }
         let second = ((caller.at / SECOND) as usize).min(seconds.len() - 1);
@@ -98,67 +100,72 @@
         served += value;
         offered += worth;
     }
-    let of = |pairs: &[[f64; 2]]| pairs.iter().map(|[s, o]| share(*s, *o)).collect::<Vec<_>>();
-    let (classes, tenants) = (of(&classes), of(&tenants));
+    let shares = |pairs: &[[f64; 2]]| pairs.iter().map(|[s, o]| share(*s, *o)).collect::<Vec<_>>();
+    let (classes, tenants) = (shares(&classes), shares(&tenants));
     let window = |w: &[[f64; 2]]| share(w.iter().map(|p| p[0]).sum(), w.iter().map(|p| p[1]).sum());
-    let worst_10_s = seconds.windows(WINDOW.min(seconds.len())).map(window).fold(1.0, f64::min);
+    let worst_10_s = seconds.windows(WORST_WINDOW_SECONDS.min(seconds.len())).map(window).fold(1.0, f64::min);
     let whole = share(served, offered);
     let least = |list: &[f64]| list.iter().copied().fold(1.0, f64::min);
-    let asked = callers.len() as f64 * day.processor.direct();
-    let wasted =
-        if day.processor.set_up_us > 0.0 { share((work.done - useful).max(0.0), asked) } else { 0.0 };
-    let tandem = if stood > 0 { tandems as f64 / stood as f64 } else { 0.0 };
+    let requested_work = callers.len() as f64 * day.processor.direct();
+    let wasted = if day.processor.set_up_us > 0.0 {
+        share((work.done - useful).max(0.0), requested_work)
+    } else {
+        0.0
+    };
+    let tandem = if established > 0 { tandems as f64 / established as f64 } else { 0.0 };
     let late = if offered > 0.0 { late / offered } else { 0.0 };
-    let deductions = [PRICES[0] * late, PRICES[1] * wasted.min(1.0), PRICES[2] * tandem];
+    let deductions =
+        [DEDUCTION_WEIGHTS[0] * late, DEDUCTION_WEIGHTS[1] * wasted.min(1.0), DEDUCTION_WEIGHTS[2] * tandem];
     let parts = [whole, worst_10_s, least(&classes), least(&tenants)];
-    let figure: f64 = parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum();
+    let figure: f64 = parts.iter().zip(SCORE_WEIGHTS).map(|(p, w)| p * w).sum();
     let figure = (figure - deductions.iter().sum::<f64>()).max(0.0);
     Service { figure, whole, worst_10_s, classes, tenants, seconds, deductions }
 }
 
-/// Times from the first try to standing, by class.
+/// Times from the first dialling to the establishment of the call, by class.
 #[derive(Clone, Debug)]
-pub struct Waits {
+pub struct SetUpDelays {
     by_class: Vec<Histogram<u64>>,
 }
 
-/// Quantiles of one class's waits, seconds; absent where no call stood.
+/// Quantiles of one class's set-up delays, seconds; absent if no call was established.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Calls that stood.
-    pub stood: u64,
-    /// Half of the calls stood within this.
+    /// Established calls.
+    #[serde(rename = "stood")]
+    pub established: u64,
+    /// Median.
     #[serde(rename = "half")]
     pub median: Option<f64>,
-    /// 90 in 100 did.
+    /// 90th percentile.
     #[serde(rename = "ninety")]
     pub p90: Option<f64>,
-    /// 99 in 100 did.
+    /// 99th percentile.
     #[serde(rename = "ninety_nine")]
     pub p99: Option<f64>,
 }
 
-impl Waits {
-    /// None yet.
+impl SetUpDelays {
+    /// Empty histograms.
     pub fn new(classes: usize) -> Self {
-        // Three digits from 1 ms up; the range grows by itself, so neither call can fail on these constants.
-        let one = || Histogram::new(3).expect("three significant digits are allowed");
-        Waits { by_class: (0..classes).map(|_| one()).collect() }
+        // Three significant digits from 1 ms; the histogram resizes automatically, so recording cannot fail.
+        let histogram = || Histogram::new(3).expect("three significant digits are allowed");
+        SetUpDelays { by_class: (0..classes).map(|_| histogram()).collect() }
     }
 
-    /// A call of a class stood after so long.
-    pub fn add(&mut self, class: usize, wait: Us) {
+    /// Records the set-up delay of a call.
+    pub fn add(&mut self, class: usize, delay: Us) {
         if let Some(histogram) = self.by_class.get_mut(class) {
-            histogram.saturating_record(wait / 1000);
+            histogram.saturating_record(delay / 1000);
         }
     }
 
     /// Quantiles by class.
     pub fn quantiles(&self) -> Vec<Quantiles> {
-        let of = |h: &Histogram<u64>| {
+        let quantiles = |h: &Histogram<u64>| {
             let at = |q: f64| (!h.is_empty()).then(|| h.value_at_quantile(q) as f64 / 1000.0);
-            Quantiles { stood: h.len(), median: at(0.5), p90: at(0.9), p99: at(0.99) }
+            Quantiles { established: h.len(), median: at(0.5), p90: at(0.9), p99: at(0.99) }
         };
-        self.by_class.iter().map(of).collect()
+        self.by_class.iter().map(quantiles).collect()
     }
 }
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: their tries, their patience, and the centre that advises them.
+//! Callers: their calls and redials, their give-up times, and the centre that advises tandems.
 
 use std::sync::Arc;
 
@@ -7,69 +7,78 @@
 
 use super::group::Group;
 use super::rules::Rule;
-use super::{id_of, processor, Ask, AskIx, AskState, Ev, LegIx, World};
+use super::{call_id, processor, Event, LegIx, ProxyRequest, RequestIx, RequestState, Simulation};
 use crate::day::{self, Us, SECOND};
 
-impl World<'_> {
-    pub(super) fn try_call(&mut self, caller: u32, resent: bool, came_back: bool) {
+impl Simulation<'_> {
+    /// A caller dials, for the first time or again: its proxy receives a request.
+    pub(super) fn dial(&mut self, caller: u32, redial: bool, reestablishes: bool) {
         let c = &self.callers[caller as usize];
         let class = &self.day.classes[c.class];
-        let ends = self.since[caller as usize] + day::us(class.give_up_s);
-        let ttl = day::us(class.give_up_s * self.day.callers.try_share).min(ends.saturating_sub(self.now));
-        self.fates[caller as usize].tries += 1;
+        let give_up_at = self.patience_from[caller as usize] + day::us(class.give_up_s);
+        let ttl =
+            day::us(class.give_up_s * self.day.callers.try_share).min(give_up_at.saturating_sub(self.now));
+        self.call_results[caller as usize].tries += 1;
         self.ends.tries += 1;
-        if ttl <= self.day.tick || !self.proxies[c.origin].up {
-            return self.try_ended(caller, None);
+        if ttl <= self.day.tick || !self.proxies[c.origin].running {
+            return self.dial_failed(caller, None);
         }
-        self.work(c.origin, processor::Task::Look);
+        self.work(c.origin, processor::Task::Inspect);
         let hop = self.advice(c.origin, c.dest);
-        let ask = self.new_ask(caller, c.origin, None);
-        let until = self.now + ttl;
-        self.queue.put(until + self.day.slack, Ev::Overdue(ask));
-        if let (Some(part), false) = (c.leaves, resent) {
-            self.queue.put(self.now + (ttl as f64 * part) as Us, Ev::Leave(ask));
+        let request = self.new_request(caller, c.origin, None);
+        let deadline = self.now + ttl;
+        self.queue.schedule(deadline + self.day.slack, Event::AnswerOverdue(request));
+        if let (Some(share), false) = (c.abandons_at, redial) {
+            self.queue.schedule(self.now + (ttl as f64 * share) as Us, Event::CallerAbandons(request));
         }
-        let request = self.request(ask, ttl, hop, resent, came_back);
-        self.deliver(c.origin, CallEvent::Request(request));
+        let call_request = self.new_call_request(request, ttl, hop, redial, reestablishes);
+        self.deliver(c.origin, CallEvent::Request(call_request));
     }
 
-    pub(super) fn new_ask(&mut self, caller: u32, at: usize, from: Option<LegIx>) -> AskIx {
-        let ix = self.asks.len() as AskIx;
-        self.asks.push(Ask {
+    /// Adds an open request at a proxy; a transit call names the leg over which it arrived.
+    pub(super) fn new_request(
+        &mut self,
+        caller: u32,
+        proxy: usize,
+        incoming_leg: Option<LegIx>,
+    ) -> RequestIx {
+        let ix = self.requests.len() as RequestIx;
+        self.requests.push(ProxyRequest {
             caller,
-            at,
-            generation: self.proxies[at].generation,
-            from,
-            state: AskState::Open,
-            out: None,
-            leg: None,
+            proxy,
+            generation: self.proxies[proxy].generation,
+            incoming_leg,
+            state: RequestState::Open,
+            pending_leg: None,
+            latest_leg: None,
             attempts: 0,
-            blocked: 0,
-            why: Cause::Unspecified,
+            blocked_until: 0,
+            failure_cause: Cause::Unspecified,
         });
-        self.proxies[at].open.insert(ix);
+        self.proxies[proxy].open_requests.insert(ix);
         ix
     }
 
-    pub(super) fn request(
+    /// The call table's request event for a request.
+    pub(super) fn new_call_request(
         &self,
-        ask: AskIx,
+        request: RequestIx,
         ttl: Us,
         hop: Option<usize>,
-        resent: bool,
-        came_back: bool,
+        redial: bool,
+        reestablishes: bool,
     ) -> Request {
-        let c = &self.callers[self.asks[ask as usize].caller as usize];
+        let c = &self.callers[self.requests[request as usize].caller as usize];
         Request {
-            id: id_of(ask),
+            id: call_id(request),
             front: Front::Platform,
             class: self.day.classes[c.class].name.clone(),
             tenant: Some(self.day.tenants[c.tenant].name.clone()),
             ttl: ttl as f64 / SECOND as f64,
-            transit: self.asks[ask as usize].from.is_some(),
+            transit: self.requests[request as usize].incoming_leg.is_some(),
             hop: hop.map(|x| ExchangeNumber(x as i64)),
-            re_established: came_back,
-            redial: resent && self.day.callers.marked,
+            re_established: reestablishes,
+            redial: redial && self.day.callers.marked,
             width: c.width,
             dest: ExchangeNumber(c.dest as i64),
             number: format!("{}-{}", c.dest, c.number),
@@ -77,80 +86,83 @@
         }
     }
 
-    /// A try ended without standing: the caller dials again, or gives up.
-    pub(super) fn try_ended(&mut self, caller: u32, cool_down: Option<Secs>) {
+    /// A caller's attempt to call has failed: it dials again later, or gives up.
+    pub(super) fn dial_failed(&mut self, caller: u32, cool_down: Option<Secs>) {
         let c = &self.callers[caller as usize];
-        let fate = &mut self.fates[caller as usize];
-        fate.ended = self.now;
-        if fate.tries > c.redials {
+        let call_result = &mut self.call_results[caller as usize];
+        call_result.ended = self.now;
+        if call_result.tries > c.redials {
             return;
         }
         let habits = &self.day.callers;
-        let doubled = match habits.backoff {
+        let backoff_factor = match habits.backoff {
             crate::scenario::Backoff::Fixed => 1.0,
-            crate::scenario::Backoff::Doubling => f64::from(1u32 << (fate.tries - 1).min(16)),
+            crate::scenario::Backoff::Doubling => f64::from(1u32 << (call_result.tries - 1).min(16)),
         };
-        // Who heeds comes back when it was asked to, be that later or sooner than it would have.
-        let asked = cool_down.filter(|_| c.heeds).map(|s| s.min(self.day.cool_down));
-        let wait = asked.unwrap_or(habits.wait_s * c.pace * doubled);
+        // A caller that heeds cool-downs redials after the requested time, even if its own wait is shorter or longer.
+        let requested_wait = cool_down.filter(|_| c.heeds_cool_down).map(|s| s.min(self.day.cool_down));
+        let wait = requested_wait.unwrap_or(habits.wait_s * c.wait_factor * backoff_factor);
         let at = self.now + day::us(wait);
-        let ends = self.since[caller as usize] + day::us(self.day.classes[c.class].give_up_s);
-        if at < ends {
-            self.queue.put(at, Ev::Try { caller, resent: true });
+        let give_up_at = self.patience_from[caller as usize] + day::us(self.day.classes[c.class].give_up_s);
+        if at < give_up_at {
+            self.queue.schedule(at, Event::Dial { caller, redial: true });
         }
     }
 
-    /// An impatient caller leaves before its time.
-    pub(super) fn leave(&mut self, ask: AskIx) {
-        let a = &mut self.asks[ask as usize];
-        if a.state != AskState::Open {
+    /// An impatient caller abandons its request before the deadline.
+    pub(super) fn caller_abandons(&mut self, request: RequestIx) {
+        let request_state = &mut self.requests[request as usize];
+        if request_state.state != RequestState::Open {
             return;
         }
-        a.state = AskState::Left;
-        let (at, caller) = (a.at, a.caller);
-        self.proxies[at].open.remove(&ask);
-        self.fates[caller as usize].ended = self.now;
-        self.ends.left += 1;
-        self.deliver(at, CallEvent::CallerGaveUp(id_of(ask)));
+        request_state.state = RequestState::Left;
+        let (proxy, caller) = (request_state.proxy, request_state.caller);
+        self.proxies[proxy].open_requests.remove(&request);
+        self.call_results[caller as usize].ended = self.now;
+        self.ends.abandoned += 1;
+        self.deliver(proxy, CallEvent::CallerGaveUp(call_id(request)));
     }
 
-    /// The time of a request is over: if it had no final answer by now, a rule is broken.
-    pub(super) fn overdue(&mut self, ask: AskIx) {
-        let a = &mut self.asks[ask as usize];
-        if a.state != AskState::Open {
+    /// The latest time for a request's final answer: a request without one breaks a rule.
+    pub(super) fn answer_overdue(&mut self, request: RequestIx) {
+        let request_state = &mut self.requests[request as usize];
+        if request_state.state != RequestState::Open {
             return;
         }
-        a.state = AskState::Left;
-        let (at, caller, root) = (a.at, a.caller, a.from.is_none());
-        self.proxies[at].open.remove(&ask);
-        self.watch.broke(
+        request_state.state = RequestState::Left;
+        let (proxy, caller, root) =
+            (request_state.proxy, request_state.caller, request_state.incoming_leg.is_none());
+        self.proxies[proxy].open_requests.remove(&request);
+        self.rule_monitor.report_violation(
             Rule::FinalAnswer,
             self.now,
-            Some(at),
-            Some(id_of(ask).0),
+            Some(proxy),
+            Some(call_id(request).0),
             "no final answer in time",
         );
-        self.deliver(at, CallEvent::CallerGaveUp(id_of(ask)));
+        self.deliver(proxy, CallEvent::CallerGaveUp(call_id(request)));
         if root {
-            self.try_ended(caller, None);
+            self.dial_failed(caller, None);
         }
     }
 
-    /// The exchange that the centre advises as a tandem.
+    /// The tandem that the centre advises: the exchange with the most free circuits on the narrower of the two groups.
     fn advice(&self, origin: usize, dest: usize) -> Option<usize> {
-        let (_, free) = self.looks.iter().rev().find(|(known, _)| *known <= self.now)?;
+        let (_, free) = self.surveys.iter().rev().find(|(available_at, _)| *available_at <= self.now)?;
         let n = self.day.n;
-        let room = |x: usize| free[self.group_of[origin * n + x]].min(free[self.group_of[x * n + dest]]);
-        let others = (0..n).filter(|x| *x != origin && *x != dest);
-        others.max_by_key(|x| (room(*x), std::cmp::Reverse(*x))).filter(|x| room(*x) > 0)
+        let free_via = |x: usize| free[self.group_of[origin * n + x]].min(free[self.group_of[x * n + dest]]);
+        let tandems = (0..n).filter(|x| *x != origin && *x != dest);
+        tandems.max_by_key(|x| (free_via(*x), std::cmp::Reverse(*x))).filter(|x| free_via(*x) > 0)
     }
 
-    pub(super) fn look(&mut self) {
-        let Some((every, late)) = self.day.centre else { return };
+    /// Records the free circuits of all groups; the centre's advice uses the record after a delay.
+    pub(super) fn survey(&mut self) {
+        let Some((period, delay)) = self.day.centre else { return };
         let free = self.groups.iter().map(Group::free).collect();
-        self.looks.push_back((self.now + late, free));
-        let stale = self.looks.iter().rposition(|(known, _)| *known <= self.now).unwrap_or(0);
-        self.looks.drain(..stale);
-        self.queue.put(self.now + every, Ev::Look);
+        self.surveys.push_back((self.now + delay, free));
+        let current =
+            self.surveys.iter().rposition(|(available_at, _)| *available_at <= self.now).unwrap_or(0);
+        self.surveys.drain(..current);
+        self.queue.schedule(self.now + period, Event::CentreSurvey);
     }
 }
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -1,4 +1,4 @@
-//! What the world knows of the proxies in its seats.
+//! Interface between the simulation and the signalling proxies.
 
 use mallowring::calls::{CallEffect, CallEvent};
 use mallowring::interface::Time;
@@ -6,15 +6,15 @@
 use crate::day::Day;
 use crate::LabError;
 
-/// What the proxies of a fleet were told in one tick, by proxy.
+/// The events that the proxies receive in one tick, by proxy.
 pub type EventsByProxy = Vec<(usize, Vec<CallEvent>)>;
 
 /// OverloadLevels of overload, 0 to 4, as one proxy sees them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverloadLevels {
-    /// Of its own processor.
+    /// Level of its own exchange's processor.
     pub own: usize,
-    /// Of far ones in service, by exchange.
+    /// Levels of far exchanges in service, as (exchange, level).
     pub far: Vec<(usize, usize)>,
 }
 
@@ -28,33 +28,33 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        self.as_mut().tick(now, told, out)
+        self.as_mut().tick(now, events, out)
     }
     fn levels(&self, proxy: usize) -> Option<OverloadLevels> {
         self.as_ref().levels(proxy)
     }
 }
 
-/// The signalling proxies of a fleet. They share nothing: each decides on its own inputs alone.
+/// The signalling proxies of a fleet. They share no state: each decides on its own events alone.
 pub trait ProxyFleet {
-    /// A proxy starts, knowing nothing.
+    /// Starts a proxy with no state.
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError>;
 
-    /// A proxy ends, with all it knew.
+    /// Stops a proxy and discards its state.
     fn stop(&mut self, proxy: usize) -> Result<(), LabError>;
 
-    /// Hands all that was told in one tick to the proxies and appends their commands in order.
+    /// Delivers the events of one tick to the proxies and appends their effects to `out` in order.
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError>;
 
-    /// The levels of overload that a proxy sees, where it can be asked.
+    /// The overload levels of a proxy, where the implementation can read them.
     fn levels(&self, _proxy: usize) -> Option<OverloadLevels> {
         None
     }
--- a/crates/lab/src/world/flow.rs
+++ b/crates/lab/src/world/flow.rs
@@ -1,367 +1,407 @@
-//! The way of a call: what proxies command, and what becomes of it on groups and processors.
+//! Call flow: applies the proxies' commands and carries set-ups, answers and releases over groups and processors.
 
 use std::sync::Arc;
 
 use mallowring::calls::{CallEvent, CallerCommand, ExchangeCommand, SetUp};
 use mallowring::interface::*;
 
-use super::processor::{Task, Up};
+use super::processor::{RunState, Task};
 use super::rules::Rule;
-use super::{ask_of, id_of, moment, AskIx, AskState, Ev, Leg, LegIx, LegState, World};
+use super::{
+    call_id, request_of, simulated_time, Event, Leg, LegIx, LegState, RequestIx, RequestState, Simulation,
+};
 
 /// The description that an exchange makes for a leg.
 fn description(leg: LegIx) -> Arc<[u8]> {
     Arc::from(leg.to_le_bytes())
 }
 
-impl World<'_> {
-    // ---- What a proxy says to whoever asked ------------------------------------------------------
+impl Simulation<'_> {
+    // ---- Commands on the caller side -------------------------------------------------------------
 
-    /// The request that a proxy speaks of, if it is one of this very proxy's.
-    fn own_ask(&mut self, proxy: usize, id: &CallId) -> Option<AskIx> {
-        let ix = ask_of(id)?;
-        let ask = self.asks.get(ix as usize)?;
-        (ask.at == proxy && ask.generation == self.proxies[proxy].generation).then_some(ix)
+    /// The request with this call id, if it belongs to this proxy since its latest start.
+    fn own_request(&mut self, proxy: usize, id: &CallId) -> Option<RequestIx> {
+        let ix = request_of(id)?;
+        let request = self.requests.get(ix as usize)?;
+        (request.proxy == proxy && request.generation == self.proxies[proxy].generation).then_some(ix)
     }
 
-    pub(super) fn near(&mut self, proxy: usize, id: &CallId, near: CallerCommand) {
-        let Some(ix) = self.own_ask(proxy, id) else {
-            let what = "an answer to a call that it was never asked for";
-            return self.watch.broke(Rule::FinalAnswer, self.now, Some(proxy), Some(id.0.clone()), what);
+    pub(super) fn apply_caller_command(&mut self, proxy: usize, id: &CallId, command: CallerCommand) {
+        let Some(ix) = self.own_request(proxy, id) else {
+            let what = "an answer to a request that it never received";
+            return self.rule_monitor.report_violation(
+                Rule::FinalAnswer,
+                self.now,
+                Some(proxy),
+                Some(id.0.clone()),
+                what,
+            );
         };
-        let state = self.asks[ix as usize].state;
-        match near {
+        let state = self.requests[ix as usize].state;
+        match command {
             CallerCommand::Release { .. } => {
-                // What an exchange or a caller ended is over already; else the proxy has cut the call.
-                if state == AskState::Standing {
-                    if let Some(leg) = self.asks[ix as usize].leg {
-                        self.let_go(leg);
+                // A call that an exchange or a caller ended is no longer established; otherwise the proxy has cut it.
+                if state == RequestState::Standing {
+                    if let Some(leg) = self.requests[ix as usize].latest_leg {
+                        self.release_leg(leg);
                     }
                 }
             }
-            CallerCommand::Answer(said) => {
-                if state == AskState::Open {
-                    return self.stands(ix, &said);
+            CallerCommand::Answer(description) => {
+                if state == RequestState::Open {
+                    return self.call_established(ix, &description);
                 }
-                self.answered_twice(ix, state);
+                self.duplicate_answer(ix, state);
             }
-            CallerCommand::Refuse(cool_down) => self.turned_down(ix, state, cool_down),
-            CallerCommand::Fail | CallerCommand::Reject(_) => self.turned_down(ix, state, None),
+            CallerCommand::Refuse(cool_down) => self.request_refused(ix, state, cool_down),
+            CallerCommand::Fail | CallerCommand::Reject(_) => self.request_refused(ix, state, None),
         }
     }
 
-    fn answered_twice(&mut self, ask: AskIx, state: AskState) {
-        // To one that has left nothing is owed, and nothing does harm.
-        if state != AskState::Left {
-            let at = self.asks[ask as usize].at;
-            self.watch.broke(
+    /// Reports a final answer to a request that already had one.
+    fn duplicate_answer(&mut self, request: RequestIx, state: RequestState) {
+        // An abandoned request needs no answer, and a late one does no harm.
+        if state != RequestState::Left {
+            let proxy = self.requests[request as usize].proxy;
+            self.rule_monitor.report_violation(
                 Rule::FinalAnswer,
                 self.now,
-                Some(at),
-                Some(id_of(ask).0),
+                Some(proxy),
+                Some(call_id(request).0),
                 "a second final answer",
             );
         }
     }
 
-    fn turned_down(&mut self, ix: AskIx, state: AskState, cool_down: Option<Secs>) {
-        if state != AskState::Open {
-            return self.answered_twice(ix, state);
+    /// A request ends without a call: a caller may redial, a transit call fails at the exchange that sent it.
+    fn request_refused(&mut self, ix: RequestIx, state: RequestState, cool_down: Option<Secs>) {
+        if state != RequestState::Open {
+            return self.duplicate_answer(ix, state);
         }
-        let ask = &mut self.asks[ix as usize];
-        ask.state = AskState::Over;
-        let (at, caller, from, why) = (ask.at, ask.caller, ask.from, ask.why);
-        if let Some(leg) = ask.out.take() {
-            self.let_go(leg);
+        let request = &mut self.requests[ix as usize];
+        request.state = RequestState::Over;
+        let (proxy, caller, incoming_leg, failure_cause) =
+            (request.proxy, request.caller, request.incoming_leg, request.failure_cause);
+        if let Some(leg) = request.pending_leg.take() {
+            self.release_leg(leg);
         }
-        self.proxies[at].open.remove(&ix);
-        let Some(leg) = from else {
+        self.proxies[proxy].open_requests.remove(&ix);
+        let Some(leg) = incoming_leg else {
             self.ends.refused += 1;
-            return self.try_ended(caller, cool_down);
+            return self.dial_failed(caller, cool_down);
         };
         self.ends.cranked_back += 1;
-        let why = if why == Cause::ProcessorFull { Cause::FarProcessorFull } else { Cause::Crankback };
-        let back = self.legs[leg as usize].from;
-        let at = self.arrival(at, back);
-        self.queue.put(at, Ev::EndAt(leg, Outcome::Refused, why));
+        let failure_cause =
+            if failure_cause == Cause::ProcessorFull { Cause::FarProcessorFull } else { Cause::Crankback };
+        let sender = self.legs[leg as usize].from;
+        let at = self.arrival(proxy, sender);
+        self.queue.schedule(at, Event::FailureArrives(leg, Outcome::Refused, failure_cause));
     }
 
-    fn stands(&mut self, ix: AskIx, said: &[u8]) {
-        let ask = &mut self.asks[ix as usize];
-        ask.state = AskState::Standing;
-        let (at, caller, from) = (ask.at, ask.caller, ask.from);
-        let leg = ask.leg.filter(|leg| self.legs[*leg as usize].answered);
-        self.proxies[at].open.remove(&ix);
-        let Some(leg) = leg.filter(|leg| *description(*leg) == *said) else {
-            self.asks[ix as usize].state = AskState::Over;
+    /// A request gets a positive answer.
+    fn call_established(&mut self, ix: RequestIx, answer: &[u8]) {
+        let request = &mut self.requests[ix as usize];
+        request.state = RequestState::Standing;
+        let (proxy, caller, incoming_leg) = (request.proxy, request.caller, request.incoming_leg);
+        let leg = request.latest_leg.filter(|leg| self.legs[*leg as usize].answered);
+        self.proxies[proxy].open_requests.remove(&ix);
+        let Some(leg) = leg.filter(|leg| *description(*leg) == *answer) else {
+            self.requests[ix as usize].state = RequestState::Over;
             let what = "an answer that no exchange made";
-            return self.watch.broke(Rule::FinalAnswer, self.now, Some(at), Some(id_of(ix).0), what);
+            return self.rule_monitor.report_violation(
+                Rule::FinalAnswer,
+                self.now,
+                Some(proxy),
+                Some(call_id(ix).0),
+                what,
+            );
         };
-        // The leg may have broken since its answer was told.
-        let stands = self.legs[leg as usize].state == LegState::Answered;
-        if !stands {
-            self.asks[ix as usize].state = AskState::Over;
-        }
-        if let Some(up) = from {
-            if stands {
-                let back = self.legs[up as usize].from;
-                let at = self.arrival(at, back);
-                self.queue.put(at, Ev::AnswerAt(up));
+        // The leg may have been cut after its answer was delivered.
+        let intact = self.legs[leg as usize].state == LegState::Answered;
+        if !intact {
+            self.requests[ix as usize].state = RequestState::Over;
+        }
+        if let Some(incoming) = incoming_leg {
+            if intact {
+                let sender = self.legs[incoming as usize].from;
+                let at = self.arrival(proxy, sender);
+                self.queue.schedule(at, Event::AnswerArrives(incoming));
             }
             return;
         }
         let c = &self.callers[caller as usize];
-        let fate = &mut self.fates[caller as usize];
-        if fate.stood.is_none() {
-            self.waits.add(c.class, self.now - c.at);
-        }
-        (fate.stood, fate.cut) = (Some(self.now), false);
-        fate.tandem = self.legs[leg as usize].child.is_some();
-        self.ends.stood += 1;
-        self.count_standing(1);
-        if stands {
-            self.queue.put(self.now + c.hold, Ev::HoldOver(ix));
+        let call_result = &mut self.call_results[caller as usize];
+        if call_result.established_at.is_none() {
+            self.set_up_delays.add(c.class, self.now - c.at);
+        }
+        (call_result.established_at, call_result.cut) = (Some(self.now), false);
+        call_result.tandem = self.legs[leg as usize].transit_request.is_some();
+        self.ends.established += 1;
+        self.change_established(1);
+        if intact {
+            self.queue.schedule(self.now + c.hold, Event::HoldingTimeEnds(ix));
         } else {
-            self.cut_short(caller);
+            self.call_cut(caller);
         }
     }
 
-    // ---- What a proxy says to an exchange --------------------------------------------------------
-
-    pub(super) fn far(&mut self, proxy: usize, office: ExchangeId, id: &CallId, far: ExchangeCommand) {
-        let Some(ix) = self.own_ask(proxy, id) else { return };
-        match far {
-            ExchangeCommand::SetUp(set_up) => self.attempt(proxy, ix, office, &set_up),
+    // ---- Commands on the exchange side -----------------------------------------------------------
+
+    pub(super) fn apply_exchange_command(
+        &mut self,
+        proxy: usize,
+        exchange_id: ExchangeId,
+        id: &CallId,
+        command: ExchangeCommand,
+    ) {
+        let Some(ix) = self.own_request(proxy, id) else { return };
+        match command {
+            ExchangeCommand::SetUp(set_up) => self.start_attempt(proxy, ix, exchange_id, &set_up),
             ExchangeCommand::CancelSetUp { leg } | ExchangeCommand::Release { leg: Some(leg) } => {
-                let found = self.asks[ix as usize].leg.filter(|l| self.legs[*l as usize].number == leg);
-                found.into_iter().for_each(|leg| self.let_go(leg));
+                let found =
+                    self.requests[ix as usize].latest_leg.filter(|l| self.legs[*l as usize].number == leg);
+                found.into_iter().for_each(|leg| self.release_leg(leg));
             }
             ExchangeCommand::Release { leg: None } => {
-                let found = self.asks[ix as usize].leg;
-                found.into_iter().for_each(|leg| self.let_go(leg));
+                let found = self.requests[ix as usize].latest_leg;
+                found.into_iter().for_each(|leg| self.release_leg(leg));
             }
         }
     }
 
-    /// Checks an attempt against the rules and sends it on its way.
-    fn attempt(&mut self, proxy: usize, ix: AskIx, office: ExchangeId, set_up: &SetUp) {
+    /// Checks an attempt against the rules, seizes its circuits and sends its set-up.
+    fn start_attempt(&mut self, proxy: usize, ix: RequestIx, exchange_id: ExchangeId, set_up: &SetUp) {
         let (now, day) = (self.now, self.day);
-        let ask = &self.asks[ix as usize];
-        let dest = self.callers[ask.caller as usize].dest;
-        let to = self.exchange_of.get(&office).copied();
-        let shut = self.watch.is_shut(proxy, office, now, day.drain + day.slack);
-        let rule = if ask.out.is_some() {
-            Some((Rule::OneAttempt, "an attempt while another one is out"))
-        } else if ask.attempts >= day.attempts {
+        let request = &self.requests[ix as usize];
+        let dest = self.callers[request.caller as usize].dest;
+        let to = self.exchange_by_id.get(&exchange_id).copied();
+        let unavailable = self.rule_monitor.is_unavailable(proxy, exchange_id, now, day.drain + day.slack);
+        let rule = if request.pending_leg.is_some() {
+            Some((Rule::OneAttempt, "an attempt while another one is pending"))
+        } else if request.attempts >= day.attempts {
             Some((Rule::OneAttempt, "one attempt too many"))
-        } else if now + day.tick / 2 < ask.blocked {
-            Some((Rule::Release, "a send too soon after a time-out, reset or cancel"))
-        } else if shut {
-            Some((Rule::Drains, "a send to an exchange that it was told drains or is gone"))
-        } else if to.is_none_or(|to| to == proxy || (ask.from.is_some() && to != dest)) {
-            Some((Rule::Sense, "a send to where the call may not go"))
+        } else if now + day.tick / 2 < request.blocked_until {
+            Some((Rule::Release, "a set-up too soon after a time-out, reset or cancellation"))
+        } else if unavailable {
+            Some((Rule::Drains, "a set-up to an exchange that its roster drains or removes"))
+        } else if to.is_none_or(|to| to == proxy || (request.incoming_leg.is_some() && to != dest)) {
+            Some((Rule::Route, "a set-up to an exchange to which the call may not be routed"))
         } else {
             None
         };
-        let (state, transit) = (ask.state, ask.from.is_some());
+        let (state, transit) = (request.state, request.incoming_leg.is_some());
         if let Some((rule, what)) = rule {
-            self.watch.broke(rule, now, Some(proxy), Some(id_of(ix).0), what);
+            self.rule_monitor.report_violation(rule, now, Some(proxy), Some(call_id(ix).0), what);
         }
-        let (Some(to), AskState::Open) = (to, state) else { return };
+        let (Some(to), RequestState::Open) = (to, state) else { return };
         self.ends.attempts += 1;
         let leg = self.legs.len() as LegIx;
-        let c = &self.callers[self.asks[ix as usize].caller as usize];
+        let c = &self.callers[self.requests[ix as usize].caller as usize];
         let group = self.group_of.get(proxy * day.n + to).copied().unwrap_or(usize::MAX);
         self.legs.push(Leg {
-            ask: ix,
+            request: ix,
             number: set_up.leg,
             from: proxy,
             to,
-            office,
+            exchange_id,
             group,
             width: c.width,
-            holds: false,
+            holds_circuits: false,
             state: LegState::Flying,
             answered: false,
-            until: moment(set_up.abandon_at).max(now),
-            child: None,
+            deadline: simulated_time(set_up.abandon_at).max(now),
+            transit_request: None,
         });
-        let ask = &mut self.asks[ix as usize];
-        ask.attempts += 1;
-        (ask.out, ask.leg) = (Some(leg), Some(leg));
-        // A send to oneself, which a rule has caught, has no group to go over.
+        let request = &mut self.requests[ix as usize];
+        request.attempts += 1;
+        (request.pending_leg, request.latest_leg) = (Some(leg), Some(leg));
+        // A set-up to the proxy's own exchange, already reported as a violation, has no group.
         if self.groups.get(group).is_none() || (transit && to != dest) {
-            return self.end_leg(leg, Outcome::Error, Cause::Unspecified);
+            return self.set_up_failed(leg, Outcome::Error, Cause::Unspecified);
         }
-        if self.processors[proxy].up == Up::Down {
-            return self.end_leg(leg, Outcome::NotSent, Cause::ProcessorFull);
+        if self.processors[proxy].state == RunState::Down {
+            return self.set_up_failed(leg, Outcome::NotSent, Cause::ProcessorFull);
         }
         let seized = self.groups[group].seize(c.width);
         if !seized {
-            return self.end_leg(leg, Outcome::NotSent, Cause::NoCircuit);
+            return self.set_up_failed(leg, Outcome::NotSent, Cause::NoCircuit);
         }
-        self.legs[leg as usize].holds = true;
-        self.active.insert(leg);
-        self.changed(group);
-        if self.pushed_over(proxy) {
+        self.legs[leg as usize].holds_circuits = true;
+        self.legs_with_circuits.insert(leg);
+        self.group_changed(group);
+        if self.fails_cold(proxy) {
             return;
         }
         if self.processors[proxy].is_full(now) {
             self.work(proxy, Task::Refuse);
-            return self.end_leg(leg, Outcome::NotSent, Cause::ProcessorFull);
+            return self.set_up_failed(leg, Outcome::NotSent, Cause::ProcessorFull);
         }
         self.work(proxy, Task::SendSetUp(leg));
     }
 
-    /// A proxy waits no longer for an attempt, or ends a call that stands.
-    pub(super) fn let_go(&mut self, leg: LegIx) {
+    /// A proxy cancels an attempt, or releases an established call.
+    pub(super) fn release_leg(&mut self, leg: LegIx) {
         let l = &mut self.legs[leg as usize];
         let answered = l.state == LegState::Answered;
         if !answered && l.state != LegState::Flying {
             return;
         }
         l.state = LegState::Dead;
-        let (ask, from, to, child) = (l.ask, l.from, l.to, l.child);
+        let (request, from, to, transit_request) = (l.request, l.from, l.to, l.transit_request);
         let arrives = self.arrival(from, to);
-        // What it held may stay taken for as long as the release takes.
-        self.queue.put(arrives.min(self.now + self.day.release), Ev::Free(leg));
-        if let Some(child) = child {
-            self.queue.put(arrives, Ev::CancelAt(child));
+        // The circuits may stay seized until the release time has passed.
+        self.queue.schedule(arrives.min(self.now + self.day.release), Event::ReleaseCircuits(leg));
+        if let Some(transit_request) = transit_request {
+            self.queue.schedule(arrives, Event::CancelArrives(transit_request));
         } else if answered {
-            self.queue.put(arrives, Ev::ReleaseAt(to));
-        }
-        let a = &mut self.asks[ask as usize];
-        a.out = None;
-        a.blocked = self.now + self.day.release;
-        if answered && a.state == AskState::Standing {
-            a.state = AskState::Over;
-            if a.from.is_none() {
-                let caller = a.caller;
-                self.cut_short(caller);
+            self.queue.schedule(arrives, Event::ReleaseArrives(to));
+        }
+        let owner = &mut self.requests[request as usize];
+        owner.pending_leg = None;
+        owner.blocked_until = self.now + self.day.release;
+        if answered && owner.state == RequestState::Standing {
+            owner.state = RequestState::Over;
+            if owner.incoming_leg.is_none() {
+                let caller = owner.caller;
+                self.call_cut(caller);
             }
         }
     }
 
-    // ---- What happens on the way -----------------------------------------------------------------
+    // ---- Set-ups, answers and releases between exchanges -----------------------------------------
 
-    /// Whether a set-up that reaches a processor pushes it over: then it stays down.
-    fn pushed_over(&mut self, exchange: usize) -> bool {
-        let falls = self.processors[exchange].note_set_up(self.now);
-        if falls {
+    /// Counts a set-up at a processor. If it overloads a cold processor, that processor stops for the rest of the day.
+    fn fails_cold(&mut self, exchange: usize) -> bool {
+        let fails = self.processors[exchange].record_set_up(self.now);
+        if fails {
             let what = format!("the cold processor of exchange {exchange} was pushed over");
-            self.watch.broke(Rule::ColdExchange, self.now, None, None, &what);
+            self.rule_monitor.report_violation(Rule::ColdExchange, self.now, None, None, &what);
             self.stop_processor(exchange);
         }
-        falls
+        fails
     }
 
-    pub(super) fn set_up_at(&mut self, leg: LegIx) {
+    /// A set-up reaches the receiving exchange of its leg.
+    pub(super) fn set_up_arrives(&mut self, leg: LegIx) {
         let l = &self.legs[leg as usize];
-        let (from, to, ask, office, until) = (l.from, l.to, l.ask, l.office, l.until);
-        let alive = l.state == LegState::Flying;
+        let (from, to, request, exchange_id, deadline) = (l.from, l.to, l.request, l.exchange_id, l.deadline);
+        let pending = l.state == LegState::Flying;
         let processor = &self.processors[to];
-        if processor.up == Up::Down || processor.office != office {
-            return self.turn_away(leg, Outcome::ConnectFailed, Cause::Unspecified);
+        if processor.state == RunState::Down || processor.exchange_id != exchange_id {
+            return self.refuse_set_up(leg, Outcome::ConnectFailed, Cause::Unspecified);
         }
-        if self.pushed_over(to) {
+        if self.fails_cold(to) {
             return;
         }
         if self.processors[to].is_full(self.now) {
             self.work(to, Task::Refuse);
-            self.ends.full += u64::from(alive);
-            return self.turn_away(leg, Outcome::Refused, Cause::ProcessorFull);
+            self.ends.far_processor_full += u64::from(pending);
+            return self.refuse_set_up(leg, Outcome::Refused, Cause::ProcessorFull);
         }
-        let caller = self.asks[ask as usize].caller;
+        let caller = self.requests[request as usize].caller;
         if self.callers[caller as usize].dest == to {
-            // One that was given up meanwhile may still be worked on.
-            if alive || !self.day.processor.cancel_drops {
+            // A set-up cancelled in the meantime may still take processing time.
+            if pending || !self.day.processor.cancel_drops {
                 self.work(to, Task::ReceiveSetUp(leg));
             }
             return;
         }
-        if !self.proxies[to].up {
-            return self.turn_away(leg, Outcome::ConnectFailed, Cause::Unspecified);
+        if !self.proxies[to].running {
+            return self.refuse_set_up(leg, Outcome::ConnectFailed, Cause::Unspecified);
         }
-        self.work(to, Task::Look);
-        if alive && until > self.now {
-            let child = self.new_ask(caller, to, Some(leg));
-            self.legs[leg as usize].child = Some(child);
-            self.queue.put(until + self.day.slack, Ev::Overdue(child));
-            let request = self.request(child, until - self.now, Some(from), false, false);
-            self.deliver(to, CallEvent::Request(request));
+        self.work(to, Task::Inspect);
+        if pending && deadline > self.now {
+            let transit_request = self.new_request(caller, to, Some(leg));
+            self.legs[leg as usize].transit_request = Some(transit_request);
+            self.queue.schedule(deadline + self.day.slack, Event::AnswerOverdue(transit_request));
+            let call_request =
+                self.new_call_request(transit_request, deadline - self.now, Some(from), false, false);
+            self.deliver(to, CallEvent::Request(call_request));
         }
     }
 
-    /// The far end turns a set-up away; its word goes back.
-    fn turn_away(&mut self, leg: LegIx, outcome: Outcome, why: Cause) {
+    /// The receiving exchange refuses a set-up; the refusal travels back to the sender.
+    fn refuse_set_up(&mut self, leg: LegIx, outcome: Outcome, failure_cause: Cause) {
         let (from, to) = (self.legs[leg as usize].from, self.legs[leg as usize].to);
         let at = self.arrival(to, from);
-        self.queue.put(at, Ev::EndAt(leg, outcome, why));
+        self.queue.schedule(at, Event::FailureArrives(leg, outcome, failure_cause));
     }
 
-    /// The end of a set-up that never stood reaches its proxy.
-    pub(super) fn end_leg(&mut self, leg: LegIx, outcome: Outcome, why: Cause) {
+    /// A set-up has failed; its proxy is informed.
+    pub(super) fn set_up_failed(&mut self, leg: LegIx, outcome: Outcome, failure_cause: Cause) {
         let l = &mut self.legs[leg as usize];
         if l.state != LegState::Flying {
             return;
         }
         l.state = LegState::Over;
-        let (ask, from, to, office, number, child) = (l.ask, l.from, l.to, l.office, l.number, l.child);
-        self.free(leg);
-        if let Some(child) = child {
-            // A set-up that broke on its way may have reached its tandem all the same.
+        let (request, from, to, exchange_id, number, transit_request) =
+            (l.request, l.from, l.to, l.exchange_id, l.number, l.transit_request);
+        self.free_circuits(leg);
+        if let Some(transit_request) = transit_request {
+            // A set-up that report_violation on its way may have reached its tandem all the same.
             let at = self.arrival(from, to);
-            self.queue.put(at, Ev::CancelAt(child));
+            self.queue.schedule(at, Event::CancelArrives(transit_request));
         }
-        self.ends.count(outcome, why);
+        self.ends.count(outcome, failure_cause);
         let report = self.report(leg);
-        let id = id_of(ask);
+        let id = call_id(request);
         self.deliver(
             from,
-            CallEvent::SetUpFailed { id, exchange: office, leg: Some(number), outcome, cause: why, report },
+            CallEvent::SetUpFailed {
+                id,
+                exchange: exchange_id,
+                leg: Some(number),
+                outcome,
+                cause: failure_cause,
+                report,
+            },
         );
     }
 
-    pub(super) fn job_done(&mut self, exchange: usize, serial: u64) {
+    /// A processor has finished a job; it begins the next one.
+    pub(super) fn job_done(&mut self, exchange: usize, job_number: u64) {
         let rng = &mut self.work_rngs[exchange];
-        let Some((task, next)) = self.processors[exchange].finish(self.now, serial, rng) else { return };
-        if let Some((at, serial)) = next {
-            self.queue.put(at, Ev::Done { exchange, serial });
+        let Some((task, next_job)) = self.processors[exchange].finish(self.now, job_number, rng) else {
+            return;
+        };
+        if let Some((at, job_number)) = next_job {
+            self.queue.schedule(at, Event::JobDone { exchange, job_number });
         }
-        self.done(exchange, task);
+        self.complete_task(exchange, task);
     }
 
-    /// Gives a processor work; what is no work at all is done at once.
+    /// Gives a processor a task; a task without work completes at once.
     pub(super) fn work(&mut self, exchange: usize, task: Task) {
-        let works = &self.day.processor;
-        if self.processors[exchange].up == Up::Down {
+        let parameters = &self.day.processor;
+        if self.processors[exchange].state == RunState::Down {
             return;
         }
-        let size = match task {
-            Task::Look => works.inspect,
-            Task::Refuse => works.refuse,
+        let work = match task {
+            Task::Inspect => parameters.inspect,
+            Task::Refuse => parameters.refuse,
             Task::SendSetUp(_) | Task::ReceiveSetUp(_) => 1.0,
             Task::SendAnswer(_) | Task::ReceiveAnswer(_) | Task::ReleaseCircuits(_) | Task::Release => {
-                works.answer_or_release
+                parameters.answer_or_release
             }
         };
-        if works.set_up_us <= 0.0 || size <= 0.0 {
-            return self.done(exchange, task);
+        if parameters.set_up_us <= 0.0 || work <= 0.0 {
+            return self.complete_task(exchange, task);
         }
         let rng = &mut self.work_rngs[exchange];
-        if let Some((at, serial)) = self.processors[exchange].push(self.now, task, size, rng) {
-            self.queue.put(at, Ev::Done { exchange, serial });
+        if let Some((at, job_number)) = self.processors[exchange].push(self.now, task, work, rng) {
+            self.queue.schedule(at, Event::JobDone { exchange, job_number });
         }
     }
 
-    fn done(&mut self, exchange: usize, task: Task) {
+    /// Carries out the effect of a task that a processor has finished.
+    fn complete_task(&mut self, exchange: usize, task: Task) {
         match task {
-            Task::Look | Task::Refuse | Task::Release => {}
+            Task::Inspect | Task::Refuse | Task::Release => {}
             Task::SendSetUp(leg) => {
-                // Whoever gave it up is here: it goes no further.
+                // A set-up cancelled at the sending exchange goes no further.
                 if self.legs[leg as usize].state == LegState::Flying {
                     let at = self.arrival(exchange, self.legs[leg as usize].to);
-                    self.queue.put(at, Ev::SetUpAt(leg));
+                    self.queue.schedule(at, Event::SetUpArrives(leg));
                 }
             }
             Task::ReceiveSetUp(leg) => match self.legs[leg as usize].state {
@@ -371,7 +411,7 @@
             Task::SendAnswer(leg) => match self.legs[leg as usize].state {
                 LegState::Flying => {
                     let at = self.arrival(exchange, self.legs[leg as usize].from);
-                    self.queue.put(at, Ev::AnswerAt(leg));
+                    self.queue.schedule(at, Event::AnswerArrives(leg));
                 }
                 _ => self.work(exchange, Task::Release),
             },
@@ -379,172 +419,183 @@
                 let l = &mut self.legs[leg as usize];
                 if l.state == LegState::Flying {
                     (l.state, l.answered) = (LegState::Answered, true);
-                    let (id, office, number, from) = (id_of(l.ask), l.office, l.number, l.from);
+                    let (id, exchange_id, number, from) =
+                        (call_id(l.request), l.exchange_id, l.number, l.from);
                     let description = description(leg);
                     self.deliver(
                         from,
-                        CallEvent::Answered { id, exchange: office, leg: Some(number), description },
+                        CallEvent::Answered { id, exchange: exchange_id, leg: Some(number), description },
                     );
                 }
             }
-            Task::ReleaseCircuits(leg) => self.release_told(leg, true),
+            Task::ReleaseCircuits(leg) => self.leg_released(leg, true),
         }
     }
 
-    /// A leg of a call that stood is over, and its proxy hears so.
-    fn release_told(&mut self, leg: LegIx, whole: bool) {
+    /// The leg of an answered call is released; its proxy is informed whether the call was completed.
+    fn leg_released(&mut self, leg: LegIx, completed_call: bool) {
         let l = &mut self.legs[leg as usize];
         if l.state != LegState::Answered {
             return;
         }
         l.state = LegState::Over;
-        let (ask, from, office) = (l.ask, l.from, l.office);
-        self.free(leg);
-        self.asks[ask as usize].out = None;
+        let (request, from, exchange_id) = (l.request, l.from, l.exchange_id);
+        self.free_circuits(leg);
+        self.requests[request as usize].pending_leg = None;
         let report = self.report(leg);
         self.deliver(
             from,
-            CallEvent::ExchangeReleased { id: id_of(ask), exchange: office, completed: whole, report },
+            CallEvent::ExchangeReleased {
+                id: call_id(request),
+                exchange: exchange_id,
+                completed: completed_call,
+                report,
+            },
         );
     }
 
-    pub(super) fn free(&mut self, leg: LegIx) {
+    /// Releases the circuits that a leg holds, if any.
+    pub(super) fn free_circuits(&mut self, leg: LegIx) {
         let l = &mut self.legs[leg as usize];
-        if std::mem::take(&mut l.holds) {
+        if std::mem::take(&mut l.holds_circuits) {
             let (group, width) = (l.group, l.width);
-            self.active.remove(&leg);
+            self.legs_with_circuits.remove(&leg);
             self.groups[group].release(width);
-            self.changed(group);
+            self.group_changed(group);
         }
     }
 
-    /// A group has changed: both ends are told.
-    pub(super) fn changed(&mut self, group: usize) {
-        self.dirty.insert(group);
-        self.want_tick();
+    /// A group has changed: both ends receive its status at the next tick.
+    pub(super) fn group_changed(&mut self, group: usize) {
+        self.changed_groups.insert(group);
+        self.schedule_tick();
     }
 
     // ---- Ends of calls ---------------------------------------------------------------------------
 
-    /// The legs of a call from its origin on.
-    fn legs_of(&self, root: AskIx) -> Vec<LegIx> {
+    /// The legs of a call, from its origin onwards.
+    fn call_legs(&self, root: RequestIx) -> Vec<LegIx> {
         let mut legs = Vec::new();
-        let mut ask = Some(root);
-        while let Some(leg) = ask.and_then(|ask| self.asks[ask as usize].leg) {
+        let mut request = Some(root);
+        while let Some(leg) = request.and_then(|request| self.requests[request as usize].latest_leg) {
             legs.push(leg);
-            ask = self.legs[leg as usize].child;
+            request = self.legs[leg as usize].transit_request;
         }
         legs
     }
 
-    /// A call has lasted its time: it is released at every exchange on its way.
-    pub(super) fn hold_over(&mut self, root: AskIx) {
-        let ask = &mut self.asks[root as usize];
-        if ask.state != AskState::Standing {
+    /// The holding time of a call ends: it is released at every exchange of its route.
+    pub(super) fn holding_time_ends(&mut self, root: RequestIx) {
+        let request = &mut self.requests[root as usize];
+        if request.state != RequestState::Standing {
             return;
         }
-        ask.state = AskState::Over;
-        let caller = ask.caller;
+        request.state = RequestState::Over;
+        let caller = request.caller;
         let c = &self.callers[caller as usize];
-        self.stood_time += c.hold as f64;
-        self.count_standing(-1);
+        self.total_holding_us += c.hold as f64;
+        self.change_established(-1);
         let dest = c.dest;
-        for leg in self.legs_of(root) {
-            if let Some(child) = self.legs[leg as usize].child {
-                self.asks[child as usize].state = AskState::Over;
+        for leg in self.call_legs(root) {
+            if let Some(transit_request) = self.legs[leg as usize].transit_request {
+                self.requests[transit_request as usize].state = RequestState::Over;
             }
-            let near = self.legs[leg as usize].from;
-            if self.processors[near].up == Up::Down {
-                self.release_told(leg, true);
+            let sender = self.legs[leg as usize].from;
+            if self.processors[sender].state == RunState::Down {
+                self.leg_released(leg, true);
             } else {
-                self.work(near, Task::ReleaseCircuits(leg));
+                self.work(sender, Task::ReleaseCircuits(leg));
             }
         }
         self.work(dest, Task::Release);
     }
 
-    /// A call that stood has lost a leg, or its proxy has ended it: it earns nothing, unless it comes again.
-    pub(super) fn cut_short(&mut self, caller: u32) {
-        let fate = &mut self.fates[caller as usize];
-        self.stood_time += (self.now - fate.stood.unwrap_or(self.now)) as f64;
-        (fate.cut, fate.ended) = (true, self.now);
+    /// An established call is cut by the loss of a leg or by its proxy: it counts as not served unless the caller
+    /// re-establishes it.
+    pub(super) fn call_cut(&mut self, caller: u32) {
+        let call_result = &mut self.call_results[caller as usize];
+        self.total_holding_us += (self.now - call_result.established_at.unwrap_or(self.now)) as f64;
+        (call_result.cut, call_result.ended) = (true, self.now);
         self.ends.cut += 1;
-        self.count_standing(-1);
-        if self.callers[caller as usize].comes_again {
-            self.queue.put(self.now + super::SECOND / 2, Ev::Again(caller));
+        self.change_established(-1);
+        if self.callers[caller as usize].reestablishes {
+            self.queue.schedule(self.now + super::SECOND / 2, Event::Reestablish(caller));
         }
     }
 
-    /// A leg has broken under its call: its circuits are lost, or an end of it has died.
-    pub(super) fn cut(&mut self, leg: LegIx) {
-        let mut root = self.legs[leg as usize].ask;
-        while let Some(up) = self.asks[root as usize].from {
-            root = self.legs[up as usize].ask;
-        }
-        if self.asks[root as usize].state == AskState::Standing {
-            self.asks[root as usize].state = AskState::Over;
-            let caller = self.asks[root as usize].caller;
-            self.cut_short(caller);
-            for leg in self.legs_of(root) {
-                if let Some(child) = self.legs[leg as usize].child {
-                    self.asks[child as usize].state = AskState::Over;
+    /// A leg breaks because its circuits are lost or one of its exchanges stops; an established call over it is cut.
+    pub(super) fn break_leg(&mut self, leg: LegIx) {
+        let mut root = self.legs[leg as usize].request;
+        while let Some(incoming) = self.requests[root as usize].incoming_leg {
+            root = self.legs[incoming as usize].request;
+        }
+        if self.requests[root as usize].state == RequestState::Standing {
+            self.requests[root as usize].state = RequestState::Over;
+            let caller = self.requests[root as usize].caller;
+            self.call_cut(caller);
+            for leg in self.call_legs(root) {
+                if let Some(transit_request) = self.legs[leg as usize].transit_request {
+                    self.requests[transit_request as usize].state = RequestState::Over;
                 }
-                let (near, far) = (self.legs[leg as usize].from, self.legs[leg as usize].to);
-                self.release_told(leg, false);
-                self.work(near, Task::Release);
-                if self.legs[leg as usize].child.is_none() {
-                    self.work(far, Task::Release);
+                let (sender, receiver) = (self.legs[leg as usize].from, self.legs[leg as usize].to);
+                self.leg_released(leg, false);
+                self.work(sender, Task::Release);
+                if self.legs[leg as usize].transit_request.is_none() {
+                    self.work(receiver, Task::Release);
                 }
             }
             return;
         }
         let l = &self.legs[leg as usize];
-        let (state, ask, from, to, child) = (l.state, l.ask, l.from, l.to, l.child);
+        let (state, request, from, to, transit_request) =
+            (l.state, l.request, l.from, l.to, l.transit_request);
         match state {
             LegState::Flying => {
-                self.free(leg);
+                self.free_circuits(leg);
                 let at = self.arrival(to, from);
-                self.queue.put(at, Ev::EndAt(leg, Outcome::Reset, Cause::Unspecified));
+                self.queue.schedule(at, Event::FailureArrives(leg, Outcome::Reset, Cause::Unspecified));
             }
-            // The answer is on its way to the origin: the call will not stand there.
+            // The answer is still on its way to the origin, where the call can no longer be established.
             LegState::Answered => {
-                self.release_told(leg, false);
-                if let Some(child) = child {
+                self.leg_released(leg, false);
+                if let Some(transit_request) = transit_request {
                     let at = self.arrival(from, to);
-                    self.queue.put(at, Ev::CancelAt(child));
+                    self.queue.schedule(at, Event::CancelArrives(transit_request));
                 }
-                // One that its proxy has not passed on yet is passed on, and over at once.
-                if self.asks[ask as usize].state == AskState::Standing {
-                    self.asks[ask as usize].state = AskState::Over;
+                // If its proxy has not passed the answer on yet, it will do so, and the call ends at once.
+                if self.requests[request as usize].state == RequestState::Standing {
+                    self.requests[request as usize].state = RequestState::Over;
                 }
-                if let Some(up) = self.asks[ask as usize].from {
-                    self.cut(up);
+                if let Some(incoming) = self.requests[request as usize].incoming_leg {
+                    self.break_leg(incoming);
                 }
             }
-            LegState::Dead | LegState::Over => self.free(leg),
+            LegState::Dead | LegState::Over => self.free_circuits(leg),
         }
     }
 
-    /// Whoever brought a call in transit has given it up.
-    pub(super) fn cancel_at(&mut self, ix: AskIx) {
-        let ask = &mut self.asks[ix as usize];
-        let (state, at, leg, generation) = (ask.state, ask.at, ask.leg, ask.generation);
-        if !matches!(state, AskState::Open | AskState::Standing) {
+    /// The exchange that sent a transit call has cancelled or lost it.
+    pub(super) fn cancel_arrives(&mut self, ix: RequestIx) {
+        let request = &mut self.requests[ix as usize];
+        let (state, proxy, leg, generation) =
+            (request.state, request.proxy, request.latest_leg, request.generation);
+        if !matches!(state, RequestState::Open | RequestState::Standing) {
             return;
         }
-        ask.state = AskState::Left;
-        self.proxies[at].open.remove(&ix);
-        if generation == self.proxies[at].generation && self.proxies[at].up {
-            self.deliver(at, CallEvent::CallerGaveUp(id_of(ix)));
+        request.state = RequestState::Left;
+        self.proxies[proxy].open_requests.remove(&ix);
+        if generation == self.proxies[proxy].generation && self.proxies[proxy].running {
+            self.deliver(proxy, CallEvent::CallerGaveUp(call_id(ix)));
         } else if let Some(leg) = leg {
-            // The proxy that sent it on has died since: its connections are gone, and with them the set-up.
-            self.let_go(leg);
+            // The tandem's proxy has stopped since: its connections are closed, which ends the set-up.
+            self.release_leg(leg);
         }
     }
 
-    pub(super) fn count_standing(&mut self, change: i64) {
-        self.standing_area += self.standing as f64 * (self.now - self.last_standing) as f64;
-        self.last_standing = self.now;
-        self.standing = self.standing.saturating_add_signed(change);
+    /// Changes the number of established calls and integrates it over time.
+    pub(super) fn change_established(&mut self, change: i64) {
+        self.established_us += self.established_calls as f64 * (self.now - self.last_change) as f64;
+        self.last_change = self.now;
+        self.established_calls = self.established_calls.saturating_add_signed(change);
     }
 }
--- a/crates/lab/src/world/group.rs
+++ b/crates/lab/src/world/group.rs
@@ -1,26 +1,26 @@
-//! A trunk group: circuits between two exchanges, used by both ends.
+//! A trunk group: circuits between two exchanges that both ends seize.
 
-/// One group.
+/// A trunk group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Its ends, the lower exchange first.
+    /// The exchanges at its ends, the lower number first.
     pub ends: [usize; 2],
-    /// Circuits it was built with.
+    /// Circuits installed.
     pub size: u32,
-    /// Circuits that work at present.
+    /// Circuits in working order now.
     pub working: u32,
     /// Circuits seized.
     pub used: u32,
-    /// Set-ups that asked for circuits here, and those that found too few.
-    pub asked: u64,
-    /// The second of the two.
+    /// Set-ups that asked for circuits.
+    pub offered: u64,
+    /// Set-ups that found too few free circuits.
     pub blocked: u64,
 }
 
 impl Group {
     /// An idle group.
     pub fn new(ends: [usize; 2], size: u32) -> Self {
-        Group { ends, size, working: size, used: 0, asked: 0, blocked: 0 }
+        Group { ends, size, working: size, used: 0, offered: 0, blocked: 0 }
     }
 
     /// Circuits that may be seized.
@@ -28,9 +28,9 @@
         self.working.saturating_sub(self.used)
     }
 
-    /// Seizes circuits, all or none.
+    /// Seizes `width` circuits, or none if fewer are free.
     pub fn seize(&mut self, width: u32) -> bool {
-        self.asked += 1;
+        self.offered += 1;
         let fits = width <= self.free();
         if fits {
             self.used += width;
@@ -40,13 +40,13 @@
         fits
     }
 
-    /// Gives circuits back.
+    /// Releases circuits.
     pub fn release(&mut self, width: u32) {
         self.used = self.used.saturating_sub(width);
     }
 
-    /// Circuits in use that no longer work.
-    pub fn lost(&self) -> u32 {
+    /// Seized circuits beyond the number in working order.
+    pub fn excess(&self) -> u32 {
         self.used.saturating_sub(self.working)
     }
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! The world: exchanges, groups, processors, callers and troubles in simulated time. It knows the proxies only by
-//! what they are told and what they command, in the call table's own words ([`CallEvent`], [`CallEffect`]).
+//! Discrete-event simulation of a fleet: exchanges, trunk groups, processors, callers and troubles in simulated
+//! time. It exchanges only the call table's events and effects ([`CallEvent`], [`CallEffect`]) with the signalling
+//! proxies.
 
 pub mod account;
 mod callers;
@@ -19,229 +20,237 @@
 use mallowring::interface::*;
 use rand_pcg::Pcg64;
 
-use account::{Fate, Waits};
+use account::{CallResult, SetUpDelays};
 use fleet::{EventsByProxy, ProxyFleet};
 use group::Group;
 use processor::Processor;
-use queue::Queue;
+use queue::EventQueue;
 pub use result::{DayResult, Ends, Sample};
-use rules::Watch;
+use rules::RuleMonitor;
 
 use crate::day::{Day, Us, EPOCH, SECOND};
 use crate::random::{noise, stream, Purpose};
 use crate::traffic::Caller;
 use crate::LabError;
 
-/// Position of an attempt.
+/// Index of an attempt in `Simulation::legs`.
 pub type LegIx = u32;
-/// Position of a request to a proxy.
-pub type AskIx = u32;
+/// Index of a request in `Simulation::requests`.
+pub type RequestIx = u32;
 
-/// The proxies' clock at a moment.
+/// The proxies' clock reading at a simulated time.
 pub fn clock(now: Us) -> Time {
     Time(EPOCH + now as f64 / SECOND as f64)
 }
 
-/// The moment of a reading of the proxies' clock.
-fn moment(time: Time) -> Us {
+/// The simulated time of a proxy clock reading.
+fn simulated_time(time: Time) -> Us {
     ((time.0 - EPOCH) * SECOND as f64).round().max(0.0) as Us
 }
 
-/// What happens.
+/// A simulation event.
 #[derive(Debug)]
-enum Ev {
-    /// A caller's first or further try.
-    Try { caller: u32, resent: bool },
-    /// A cut call comes again.
-    Again(u32),
-    /// An impatient caller leaves.
-    Leave(AskIx),
-    /// The caller's time and the slack are over.
-    Overdue(AskIx),
-    /// Proxies handle what has come in.
-    Tick,
-    /// A processor has done a job.
-    Done { exchange: usize, serial: u64 },
-    /// A set-up reaches the far end of its leg.
-    SetUpAt(LegIx),
-    /// An answer reaches the near end of its leg.
-    AnswerAt(LegIx),
-    /// The end of a set-up reaches the near end of its leg.
-    EndAt(LegIx, Outcome, Cause),
-    /// The giving up of a call in transit reaches its tandem.
-    CancelAt(AskIx),
-    /// Circuits of a leg that was given up fall free.
-    Free(LegIx),
-    /// A release reaches a far end.
-    ReleaseAt(usize),
-    /// A call has lasted its time.
-    HoldOver(AskIx),
-    /// A processor takes its figures.
-    Figures(usize),
-    /// The centre looks.
-    Look,
-    /// The day's series are continued.
+enum Event {
+    /// A caller dials for the first time or again.
+    Dial { caller: u32, redial: bool },
+    /// A caller re-establishes a call that was cut.
+    Reestablish(u32),
+    /// An impatient caller abandons its request.
+    CallerAbandons(RequestIx),
+    /// The latest time for a final answer has passed: the request's time to live and the slack.
+    AnswerOverdue(RequestIx),
+    /// The proxies handle the events in their inboxes.
+    ProxyTick,
+    /// A processor has finished a job.
+    JobDone { exchange: usize, job_number: u64 },
+    /// A set-up reaches the receiving exchange of its leg.
+    SetUpArrives(LegIx),
+    /// An answer reaches the sending exchange of its leg.
+    AnswerArrives(LegIx),
+    /// The failure of a set-up reaches the sending exchange of its leg.
+    FailureArrives(LegIx, Outcome, Cause),
+    /// The cancellation of a transit call reaches its tandem.
+    CancelArrives(RequestIx),
+    /// The circuits of a cancelled or released leg become free.
+    ReleaseCircuits(LegIx),
+    /// A release reaches the receiving exchange.
+    ReleaseArrives(usize),
+    /// The holding time of a call ends.
+    HoldingTimeEnds(RequestIx),
+    /// A processor measures its load.
+    MeasureLoad(usize),
+    /// The centre records the free circuits of all groups.
+    CentreSurvey,
+    /// The state of the fleet is sampled.
     Sample,
-    /// News reach a proxy.
-    News { proxy: usize, news: usize },
-    /// A trouble begins or goes on.
+    /// A roster update reaches a proxy.
+    RosterUpdate { proxy: usize, update: usize },
+    /// A step of a trouble.
     Trouble(trouble::Step),
-    /// A proxy's timer.
-    Wake { proxy: usize, generation: u32, wake: CallTimer },
+    /// A timer of a proxy expires.
+    TimerExpires { proxy: usize, generation: u32, timer: CallTimer },
 }
 
-/// Where a request to a proxy stands.
+/// State of a request to a proxy. The variants' names appear in the leak texts of [`DayResult`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AskState {
+enum RequestState {
     /// No final answer yet.
     Open,
-    /// The call stands.
+    /// The call is established.
     Standing,
-    /// It got its final answer, or is over after it stood.
+    /// The request was refused or failed, or its established call has ended.
     Over,
-    /// Whoever asked has left, or the proxy has died: nothing is owed.
+    /// The requester has abandoned it or the proxy has stopped: no final answer is due.
     Left,
 }
 
-/// A request to a proxy: a caller's try, or a call in transit.
+/// A request to a proxy: from a caller, or for a transit call.
 #[derive(Debug)]
-struct Ask {
+struct ProxyRequest {
     caller: u32,
-    at: usize,
+    proxy: usize,
+    /// The proxy's generation when the request was made.
     generation: u32,
-    /// The leg that brought a call in transit.
-    from: Option<LegIx>,
-    state: AskState,
-    /// The attempt that is out.
-    out: Option<LegIx>,
-    /// The latest attempt.
-    leg: Option<LegIx>,
+    /// The leg over which a transit call arrived.
+    incoming_leg: Option<LegIx>,
+    state: RequestState,
+    /// The attempt whose result is pending.
+    pending_leg: Option<LegIx>,
+    latest_leg: Option<LegIx>,
     attempts: u32,
-    /// No send before this.
-    blocked: Us,
-    /// How the last attempt was turned away.
-    why: Cause,
+    /// A further attempt before this time breaks a rule.
+    blocked_until: Us,
+    /// Why the last attempt failed.
+    failure_cause: Cause,
 }
 
-/// Where an attempt stands.
+/// State of an attempt. The variants' names appear in the leak texts of [`DayResult`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LegState {
-    /// On its way, with no answer.
+    /// Sent, not answered.
     Flying,
-    /// Given up by its proxy.
+    /// Cancelled or released by its proxy.
     Dead,
-    /// Its answer has been told to its proxy.
+    /// Its answer was delivered to its proxy.
     Answered,
-    /// Over.
+    /// Failed, or released after its answer.
     Over,
 }
 
-/// An attempt.
+/// An attempt: one set-up between two exchanges.
 #[derive(Debug)]
 struct Leg {
-    ask: AskIx,
+    request: RequestIx,
     number: u32,
     from: usize,
     to: usize,
-    office: ExchangeId,
+    /// The instance that it was sent to.
+    exchange_id: ExchangeId,
     group: usize,
+    /// Circuits that it needs.
     width: u32,
-    holds: bool,
+    holds_circuits: bool,
     state: LegState,
-    /// An exchange has answered it, and its proxy was told.
+    /// Whether an answer was delivered to its proxy at any time.
     answered: bool,
-    until: Us,
-    /// The request of a call in transit at the far end.
-    child: Option<AskIx>,
+    deadline: Us,
+    /// The request that it caused at a tandem.
+    transit_request: Option<RequestIx>,
 }
 
-/// A signalling proxy as the world sees it.
+/// A signalling proxy's state in the simulation.
 #[derive(Debug, Default)]
-struct Seat {
-    up: bool,
+struct ProxyState {
+    running: bool,
+    /// Number of restarts.
     generation: u32,
     inbox: Vec<CallEvent>,
-    open: BTreeSet<AskIx>,
-    /// Its roster has stopped until then; what it should have been told by now.
-    deaf_until: Us,
-    missed: Vec<usize>,
+    open_requests: BTreeSet<RequestIx>,
+    /// No roster updates are delivered before this time; they are kept in `missed_updates`.
+    roster_stopped_until: Us,
+    missed_updates: Vec<usize>,
 }
 
-/// Figures of a processor as they will be known.
+/// A load measurement of a processor.
 #[derive(Clone, Copy, Debug)]
-struct Figures {
-    known: Us,
+struct LoadMeasurement {
+    /// When it becomes available to reports.
+    available_at: Us,
     wait: Secs,
-    hold_back: f64,
+    requested_reduction: f64,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     day: &'a Day,
     callers: &'a [Caller],
-    seats: &'a mut dyn ProxyFleet,
+    fleet: &'a mut dyn ProxyFleet,
     salt: u64,
     now: Us,
-    queue: Queue<Ev>,
-    /// Events in the queue that come again for ever.
+    queue: EventQueue<Event>,
+    /// Events in the queue that schedule themselves again without end.
     periodic: usize,
-    proxies: Vec<Seat>,
+    proxies: Vec<ProxyState>,
     processors: Vec<Processor>,
     retired: Vec<Processor>,
     groups: Vec<Group>,
-    /// Group between two exchanges, by `a * n + b`.
+    /// Group between two exchanges, by `a * n + b` with `n` exchanges.
     group_of: Vec<usize>,
-    dirty: BTreeSet<usize>,
-    figures: Vec<VecDeque<Figures>>,
+    changed_groups: BTreeSet<usize>,
+    measurements: Vec<VecDeque<LoadMeasurement>>,
     report_rngs: Vec<Pcg64>,
     work_rngs: Vec<Pcg64>,
-    looks: VecDeque<(Us, Vec<u32>)>,
-    /// When the last message on each way between exchanges arrives: they keep their order.
-    arrivals: Vec<Us>,
-    asks: Vec<Ask>,
+    /// The centre's records of free circuits by group, with the time at which each becomes available.
+    surveys: VecDeque<(Us, Vec<u32>)>,
+    /// Arrival time of the latest message from one exchange to another: messages keep their order.
+    last_arrivals: Vec<Us>,
+    requests: Vec<ProxyRequest>,
     legs: Vec<Leg>,
-    active: BTreeSet<LegIx>,
-    exchange_of: BTreeMap<ExchangeId, usize>,
-    /// Offices that were taken out of service or died.
-    gone: BTreeSet<ExchangeId>,
-    news: Vec<(Us, RosterEntry)>,
+    legs_with_circuits: BTreeSet<LegIx>,
+    exchange_by_id: BTreeMap<ExchangeId, usize>,
+    /// Instances that were taken out of service or crashed.
+    removed: BTreeSet<ExchangeId>,
+    /// Roster entries, with the time at which the roster service publishes each.
+    roster_updates: Vec<(Us, RosterEntry)>,
     next_tick: Option<Us>,
     last_tick: Option<Us>,
-    fates: Vec<Fate>,
-    /// From when each caller's patience counts.
-    since: Vec<Us>,
-    watch: Watch,
-    waits: Waits,
+    call_results: Vec<CallResult>,
+    /// Start of each caller's give-up time.
+    patience_from: Vec<Us>,
+    rule_monitor: RuleMonitor,
+    set_up_delays: SetUpDelays,
     ends: Ends,
     samples: Vec<Sample>,
-    standing: u64,
-    standing_area: f64,
-    stood_time: f64,
-    last_standing: Us,
-    events: u64,
+    established_calls: u64,
+    /// Integral of the number of established calls over time, µs.
+    established_us: f64,
+    /// Sum of the times for which calls were established, µs.
+    total_holding_us: f64,
+    last_change: Us,
+    events_handled: u64,
 }
 
-/// Runs a day to its end. `salt` changes the seeds of the proxies and nothing else.
+/// Simulates a day to its end. `salt` changes the seeds of the proxies and nothing else.
 pub fn run(
     day: &Day,
     callers: &[Caller],
-    seats: &mut dyn ProxyFleet,
+    fleet: &mut dyn ProxyFleet,
     salt: u64,
 ) -> Result<DayResult, LabError> {
-    let mut world = World::new(day, callers, seats, salt);
-    world.open_day()?;
-    while let Some((at, event)) = world.queue.take() {
-        world.now = at;
-        world.events += 1;
-        world.happen(event)?;
-        if world.queue.len() == world.periodic {
+    let mut simulation = Simulation::new(day, callers, fleet, salt);
+    simulation.start_day()?;
+    while let Some((at, event)) = simulation.queue.pop() {
+        simulation.now = at;
+        simulation.events_handled += 1;
+        simulation.handle(event)?;
+        if simulation.queue.len() == simulation.periodic {
             break;
         }
     }
-    Ok(world.close_day())
+    Ok(simulation.finish_day())
 }
 
-impl<'a> World<'a> {
-    fn new(day: &'a Day, callers: &'a [Caller], seats: &'a mut dyn ProxyFleet, salt: u64) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(day: &'a Day, callers: &'a [Caller], fleet: &'a mut dyn ProxyFleet, salt: u64) -> Self {
         let n = day.n;
         let mut group_of = vec![usize::MAX; n * n];
         let groups: Vec<Group> = day.groups.iter().map(|(ends, size)| Group::new(*ends, *size)).collect();
@@ -251,105 +260,107 @@
             group_of[b * n + a] = ix;
         }
         let rngs = |purpose| (0..n).map(|x| stream(day.seed, purpose, x as u64)).collect();
-        World {
+        Simulation {
             day,
             callers,
-            seats,
+            fleet,
             salt,
             now: 0,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             periodic: 0,
-            proxies: (0..n).map(|_| Seat::default()).collect(),
+            proxies: (0..n).map(|_| ProxyState::default()).collect(),
             processors: Vec::new(),
             retired: Vec::new(),
             groups,
             group_of,
-            dirty: BTreeSet::new(),
-            figures: vec![VecDeque::new(); n],
+            changed_groups: BTreeSet::new(),
+            measurements: vec![VecDeque::new(); n],
             report_rngs: rngs(Purpose::Report),
-            work_rngs: rngs(Purpose::Work),
-            looks: VecDeque::new(),
-            arrivals: vec![0; n * n],
-            asks: Vec::new(),
+            work_rngs: rngs(Purpose::ProcessorWork),
+            surveys: VecDeque::new(),
+            last_arrivals: vec![0; n * n],
+            requests: Vec::new(),
             legs: Vec::new(),
-            active: BTreeSet::new(),
-            exchange_of: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            news: Vec::new(),
+            legs_with_circuits: BTreeSet::new(),
+            exchange_by_id: BTreeMap::new(),
+            removed: BTreeSet::new(),
+            roster_updates: Vec::new(),
             next_tick: None,
             last_tick: None,
-            fates: vec![Fate::default(); callers.len()],
-            since: callers.iter().map(|c| c.at).collect(),
-            watch: Watch::default(),
-            waits: Waits::new(day.classes.len()),
+            call_results: vec![CallResult::default(); callers.len()],
+            patience_from: callers.iter().map(|c| c.at).collect(),
+            rule_monitor: RuleMonitor::default(),
+            set_up_delays: SetUpDelays::new(day.classes.len()),
             ends: Ends::default(),
             samples: Vec::new(),
-            standing: 0,
-            standing_area: 0.0,
-            stood_time: 0.0,
-            last_standing: 0,
-            events: 0,
+            established_calls: 0,
+            established_us: 0.0,
+            total_holding_us: 0.0,
+            last_change: 0,
+            events_handled: 0,
         }
     }
 
-    fn open_day(&mut self) -> Result<(), LabError> {
+    fn start_day(&mut self) -> Result<(), LabError> {
         for exchange in 0..self.day.n {
-            let office = self.new_office(exchange);
-            self.processors.push(Processor::new(office, self.day.processor, None));
-            let entry = self.entry(exchange, office, ServiceState::InService, None);
-            self.news.push((0, entry));
-            self.put_periodic(self.day.report_period, Ev::Figures(exchange));
+            let exchange_id = self.new_exchange_id(exchange);
+            self.processors.push(Processor::new(exchange_id, self.day.processor, None));
+            let entry = self.roster_entry(exchange, exchange_id, ServiceState::InService, None);
+            self.roster_updates.push((0, entry));
+            self.schedule_periodic(self.day.report_period, Event::MeasureLoad(exchange));
         }
         for proxy in 0..self.day.n {
             self.start_proxy(proxy)?;
         }
         if self.day.centre.is_some() {
-            self.put_periodic(0, Ev::Look);
+            self.schedule_periodic(0, Event::CentreSurvey);
         }
-        self.put_periodic(0, Ev::Sample);
+        self.schedule_periodic(0, Event::Sample);
         for (ix, caller) in self.callers.iter().enumerate() {
-            self.queue.put(caller.at, Ev::Try { caller: ix as u32, resent: false });
+            self.queue.schedule(caller.at, Event::Dial { caller: ix as u32, redial: false });
         }
         self.plan_troubles();
         Ok(())
     }
 
-    fn put_periodic(&mut self, at: Us, event: Ev) {
+    fn schedule_periodic(&mut self, at: Us, event: Event) {
         self.periodic += 1;
-        self.queue.put(at, event);
+        self.queue.schedule(at, event);
     }
 
-    fn happen(&mut self, event: Ev) -> Result<(), LabError> {
+    fn handle(&mut self, event: Event) -> Result<(), LabError> {
         match event {
-            Ev::Try { caller, resent } => self.try_call(caller, resent, false),
-            Ev::Again(caller) => {
-                self.since[caller as usize] = self.now;
-                self.try_call(caller, false, true);
+            Event::Dial { caller, redial } => self.dial(caller, redial, false),
+            Event::Reestablish(caller) => {
+                self.patience_from[caller as usize] = self.now;
+                self.dial(caller, false, true);
             }
-            Ev::Leave(ask) => self.leave(ask),
-            Ev::Overdue(ask) => self.overdue(ask),
-            Ev::Tick => self.tick()?,
-            Ev::Done { exchange, serial } => self.job_done(exchange, serial),
-            Ev::SetUpAt(leg) => self.set_up_at(leg),
-            Ev::AnswerAt(leg) => {
+            Event::CallerAbandons(request) => self.caller_abandons(request),
+            Event::AnswerOverdue(request) => self.answer_overdue(request),
+            Event::ProxyTick => self.tick()?,
+            Event::JobDone { exchange, job_number } => self.job_done(exchange, job_number),
+            Event::SetUpArrives(leg) => self.set_up_arrives(leg),
+            Event::AnswerArrives(leg) => {
                 if self.legs[leg as usize].state == LegState::Flying {
-                    let near = self.legs[leg as usize].from;
-                    self.work(near, processor::Task::ReceiveAnswer(leg));
+                    let sender = self.legs[leg as usize].from;
+                    self.work(sender, processor::Task::ReceiveAnswer(leg));
                 }
             }
-            Ev::EndAt(leg, outcome, why) => self.end_leg(leg, outcome, why),
-            Ev::CancelAt(ask) => self.cancel_at(ask),
-            Ev::Free(leg) => self.free(leg),
-            Ev::ReleaseAt(exchange) => self.work(exchange, processor::Task::Release),
-            Ev::HoldOver(ask) => self.hold_over(ask),
-            Ev::Figures(exchange) => self.take_figures(exchange),
-            Ev::Look => self.look(),
-            Ev::Sample => self.sample(),
-            Ev::News { proxy, news } => self.tell_news(proxy, news),
-            Ev::Trouble(step) => self.trouble(step)?,
-            Ev::Wake { proxy, generation, wake } => {
+            Event::FailureArrives(leg, outcome, failure_cause) => {
+                self.set_up_failed(leg, outcome, failure_cause)
+            }
+            Event::CancelArrives(request) => self.cancel_arrives(request),
+            Event::ReleaseCircuits(leg) => self.free_circuits(leg),
+            Event::ReleaseArrives(exchange) => self.work(exchange, processor::Task::Release),
+            Event::HoldingTimeEnds(request) => self.holding_time_ends(request),
+            Event::MeasureLoad(exchange) => self.measure_load(exchange),
+            Event::CentreSurvey => self.survey(),
+            Event::Sample => self.sample(),
+            Event::RosterUpdate { proxy, update } => self.deliver_roster_update(proxy, update),
+            Event::Trouble(step) => self.apply_trouble(step)?,
+            Event::TimerExpires { proxy, generation, timer } => {
                 if self.proxies[proxy].generation == generation {
-                    self.deliver(proxy, CallEvent::TimerExpired(wake));
+                    self.deliver(proxy, CallEvent::TimerExpired(timer));
                 }
             }
         }
@@ -361,38 +372,38 @@
     fn start_proxy(&mut self, proxy: usize) -> Result<(), LabError> {
         let generation = self.proxies[proxy].generation;
         let index = (self.salt << 32) ^ (u64::from(generation) << 20) ^ proxy as u64;
-        let seed = rand::Rng::next_u64(&mut stream(self.day.seed, Purpose::Seat, index));
+        let seed = rand::Rng::next_u64(&mut stream(self.day.seed, Purpose::ProxySeed, index));
         // Seeds on the wire are whole numbers that a double can hold.
-        self.seats.start(self.day, proxy, clock(self.now), seed >> 11)?;
-        self.proxies[proxy].up = true;
-        let mut listed: BTreeMap<ExchangeId, RosterEntry> = BTreeMap::new();
-        for (known, office) in &self.news {
-            if *known <= self.now {
-                listed.insert(office.id, office.clone());
+        self.fleet.start(self.day, proxy, clock(self.now), seed >> 11)?;
+        self.proxies[proxy].running = true;
+        let mut latest: BTreeMap<ExchangeId, RosterEntry> = BTreeMap::new();
+        for (published, entry) in &self.roster_updates {
+            if *published <= self.now {
+                latest.insert(entry.id, entry.clone());
             }
         }
-        let offices: Vec<RosterEntry> =
-            listed.into_values().filter(|o| o.state != ServiceState::Removed).collect();
-        for office in offices.iter().filter(|o| o.state != ServiceState::InService) {
-            self.watch.told(proxy, office.id, self.now);
+        let roster_entries: Vec<RosterEntry> =
+            latest.into_values().filter(|o| o.state != ServiceState::Removed).collect();
+        for entry in roster_entries.iter().filter(|o| o.state != ServiceState::InService) {
+            self.rule_monitor.note_unavailable(proxy, entry.id, self.now);
         }
-        self.deliver(proxy, CallEvent::Roster { full: true, entries: offices });
+        self.deliver(proxy, CallEvent::Roster { full: true, entries: roster_entries });
         for far in (0..self.day.n).filter(|x| *x != proxy) {
-            let input = self.status(proxy, far);
-            self.deliver(proxy, input);
+            let event = self.status(proxy, far);
+            self.deliver(proxy, event);
         }
         Ok(())
     }
 
-    /// Puts something into a proxy's inbox; it is handled at its next tick.
-    fn deliver(&mut self, proxy: usize, input: CallEvent) {
-        if self.proxies[proxy].up {
-            self.proxies[proxy].inbox.push(input);
-            self.want_tick();
+    /// Puts an event into a proxy's inbox; the proxy handles it at the next tick.
+    fn deliver(&mut self, proxy: usize, event: CallEvent) {
+        if self.proxies[proxy].running {
+            self.proxies[proxy].inbox.push(event);
+            self.schedule_tick();
         }
     }
 
-    fn want_tick(&mut self) {
+    fn schedule_tick(&mut self) {
         if self.next_tick.is_none() {
             let tick = self.day.tick;
             let mut at = self.now.div_ceil(tick) * tick;
@@ -400,49 +411,51 @@
                 at += tick;
             }
             self.next_tick = Some(at);
-            self.queue.put(at, Ev::Tick);
+            self.queue.schedule(at, Event::ProxyTick);
         }
     }
 
     fn tick(&mut self) -> Result<(), LabError> {
         self.next_tick = None;
         self.last_tick = Some(self.now);
-        for group in std::mem::take(&mut self.dirty) {
+        for group in std::mem::take(&mut self.changed_groups) {
             let [a, b] = self.groups[group].ends;
             for (proxy, far) in [(a, b), (b, a)] {
-                let input = self.status(proxy, far);
-                if self.proxies[proxy].up {
-                    self.proxies[proxy].inbox.push(input);
+                let event = self.status(proxy, far);
+                if self.proxies[proxy].running {
+                    self.proxies[proxy].inbox.push(event);
                 }
             }
         }
-        let mut told: EventsByProxy = Vec::new();
-        for (proxy, seat) in self.proxies.iter_mut().enumerate() {
-            if seat.up && !seat.inbox.is_empty() {
-                told.push((proxy, std::mem::take(&mut seat.inbox)));
+        let mut events: EventsByProxy = Vec::new();
+        for (proxy, state) in self.proxies.iter_mut().enumerate() {
+            if state.running && !state.inbox.is_empty() {
+                events.push((proxy, std::mem::take(&mut state.inbox)));
             }
         }
-        for (_, inputs) in &told {
-            for input in inputs {
-                if let CallEvent::SetUpFailed { id, outcome, cause: why, .. } = input {
-                    self.attempt_ended(id, *outcome, *why);
+        for (_, inbox) in &events {
+            for event in inbox {
+                if let CallEvent::SetUpFailed { id, outcome, cause: failure_cause, .. } = event {
+                    self.attempt_ended(id, *outcome, *failure_cause);
                 }
             }
         }
-        let gone = gone_offices(&told);
-        let mut commands = Vec::new();
-        self.seats.tick(clock(self.now), told, &mut commands)?;
-        for (proxy, office) in gone {
-            self.close_connections(proxy, office);
+        let removed = removed_exchanges(&events);
+        let mut effects = Vec::new();
+        self.fleet.tick(clock(self.now), events, &mut effects)?;
+        for (proxy, exchange_id) in removed {
+            self.close_connections(proxy, exchange_id);
         }
-        for (proxy, command) in commands {
-            match command {
-                CallEffect::Caller(_, id, near) => self.near(proxy, &id, near),
-                CallEffect::Exchange(office, id, far) => self.far(proxy, office, &id, far),
-                CallEffect::StartTimer(at, wake) => {
+        for (proxy, effect) in effects {
+            match effect {
+                CallEffect::Caller(_, id, command) => self.apply_caller_command(proxy, &id, command),
+                CallEffect::Exchange(exchange_id, id, command) => {
+                    self.apply_exchange_command(proxy, exchange_id, &id, command)
+                }
+                CallEffect::StartTimer(at, timer) => {
                     let generation = self.proxies[proxy].generation;
-                    let at = moment(at).max(self.now);
-                    self.queue.put(at, Ev::Wake { proxy, generation, wake });
+                    let at = simulated_time(at).max(self.now);
+                    self.queue.schedule(at, Event::TimerExpires { proxy, generation, timer });
                 }
                 CallEffect::Log(text) => self.ends.log(text),
             }
@@ -450,27 +463,28 @@
         Ok(())
     }
 
-    /// A proxy has heard that an exchange is gone: its connections to it are closed, with the set-ups open there.
-    fn close_connections(&mut self, proxy: usize, office: ExchangeId) {
-        let open = |leg: &&LegIx| {
+    /// Closes a proxy's connections to an exchange that its roster has removed; this ends the set-ups pending there.
+    fn close_connections(&mut self, proxy: usize, exchange_id: ExchangeId) {
+        let is_pending = |leg: &&LegIx| {
             let leg = &self.legs[**leg as usize];
-            leg.from == proxy && leg.office == office && leg.state == LegState::Flying
+            leg.from == proxy && leg.exchange_id == exchange_id && leg.state == LegState::Flying
         };
-        for leg in self.active.iter().filter(open).copied().collect::<Vec<_>>() {
-            self.let_go(leg);
+        for leg in self.legs_with_circuits.iter().filter(is_pending).copied().collect::<Vec<_>>() {
+            self.release_leg(leg);
         }
     }
 
-    /// The end of an attempt is told to its proxy.
-    fn attempt_ended(&mut self, id: &CallId, outcome: Outcome, why: Cause) {
-        let Some(ask) = ask_of(id).and_then(|ix| self.asks.get_mut(ix as usize)) else { return };
-        ask.out = None;
-        ask.why = why;
+    /// Records the end of an attempt as its failure is delivered to the proxy.
+    fn attempt_ended(&mut self, id: &CallId, outcome: Outcome, failure_cause: Cause) {
+        let Some(request) = request_of(id).and_then(|ix| self.requests.get_mut(ix as usize)) else { return };
+        request.pending_leg = None;
+        request.failure_cause = failure_cause;
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            ask.blocked = self.now + self.day.release;
+            request.blocked_until = self.now + self.day.release;
         }
     }
 
+    /// The status event of the group between a proxy's exchange and a far one.
     fn status(&self, proxy: usize, far: usize) -> CallEvent {
         let group = &self.groups[self.group_of[proxy * self.day.n + far]];
         let report = LoadReport {
@@ -478,42 +492,42 @@
             group_size: Some(f64::from(group.working)),
             ..LoadReport::default()
         };
-        CallEvent::Status { exchange: self.processors[far].office, report }
+        CallEvent::Status { exchange: self.processors[far].exchange_id, report }
     }
 
-    // ---- Flight ----------------------------------------------------------------------------------
+    // ---- Transmission ----------------------------------------------------------------------------
 
-    /// When a message sent now arrives. Those of one way keep their order.
+    /// Arrival time of a message sent now. Messages in one direction between two exchanges keep their order.
     fn arrival(&mut self, from: usize, to: usize) -> Us {
-        let way = from * self.day.n + to;
-        let spread = 2.0 * noise(self.day.seed, way as u64, self.now) - 1.0;
-        let took = self.day.flight[way] * (1.0 + self.day.jitter * spread);
-        let at = (self.now + took.max(0.0) as Us).max(self.arrivals[way]);
-        self.arrivals[way] = at;
+        let direction = from * self.day.n + to;
+        let spread = 2.0 * noise(self.day.seed, direction as u64, self.now) - 1.0;
+        let transmission_us = self.day.flight[direction] * (1.0 + self.day.jitter * spread);
+        let at = (self.now + transmission_us.max(0.0) as Us).max(self.last_arrivals[direction]);
+        self.last_arrivals[direction] = at;
         at
     }
 }
 
-/// The exchanges that proxies are told to be gone.
-fn gone_offices(told: &EventsByProxy) -> Vec<(usize, ExchangeId)> {
-    let mut gone = Vec::new();
-    for (proxy, inputs) in told {
-        for input in inputs {
-            if let CallEvent::Roster { entries: offices, .. } = input {
-                let off = offices.iter().filter(|o| o.state == ServiceState::Removed);
-                gone.extend(off.map(|o| (*proxy, o.id)));
+/// The exchanges that the roster updates remove, with the proxy that receives each.
+fn removed_exchanges(events: &EventsByProxy) -> Vec<(usize, ExchangeId)> {
+    let mut removed = Vec::new();
+    for (proxy, inbox) in events {
+        for event in inbox {
+            if let CallEvent::Roster { entries: roster_entries, .. } = event {
+                let removals = roster_entries.iter().filter(|o| o.state == ServiceState::Removed);
+                removed.extend(removals.map(|o| (*proxy, o.id)));
             }
         }
     }
-    gone
+    removed
 }
 
-/// The id of a request.
-fn id_of(ask: AskIx) -> CallId {
-    CallId(format!("{ask:016x}"))
+/// The call id of a request.
+fn call_id(request: RequestIx) -> CallId {
+    CallId(format!("{request:016x}"))
 }
 
-/// The request of an id.
-fn ask_of(id: &CallId) -> Option<AskIx> {
-    AskIx::from_str_radix(&id.0, 16).ok()
+/// The request of a call id.
+fn request_of(id: &CallId) -> Option<RequestIx> {
+    RequestIx::from_str_radix(&id.0, 16).ok()
 }
--- a/crates/lab/src/world/queue.rs
+++ b/crates/lab/src/world/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events, in order of time and then of entry.
+//! Event queue, ordered by time and then by insertion.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -7,13 +7,13 @@
 
 struct Entry<T> {
     at: Us,
-    order: u64,
+    sequence: u64,
     event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 impl<T> Eq for Entry<T> {}
@@ -24,36 +24,36 @@
 }
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives its greatest: the earliest.
-        (other.at, other.order).cmp(&(self.at, self.order))
+        // Reversed: the heap pops its greatest entry, which must be the earliest.
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events by time; those of one moment in the order in which they were put in.
-pub struct Queue<T> {
+/// Events by time; events of the same time are in insertion order.
+pub struct EventQueue<T> {
     heap: BinaryHeap<Entry<T>>,
-    order: u64,
+    sequence: u64,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), order: 0 }
+        EventQueue { heap: BinaryHeap::new(), sequence: 0 }
     }
 }
 
-impl<T> Queue<T> {
-    /// Puts an event in.
-    pub fn put(&mut self, at: Us, event: T) {
-        self.order += 1;
-        self.heap.push(Entry { at, order: self.order, event });
+impl<T> EventQueue<T> {
+    /// Adds an event at a time.
+    pub fn schedule(&mut self, at: Us, event: T) {
+        self.sequence += 1;
+        self.heap.push(Entry { at, sequence: self.sequence, event });
     }
 
-    /// Takes the next one out.
-    pub fn take(&mut self) -> Option<(Us, T)> {
+    /// Removes and returns the earliest event.
+    pub fn pop(&mut self) -> Option<(Us, T)> {
         self.heap.pop().map(|e| (e.at, e.event))
     }
 
-    /// Events that are in.
+    /// Number of events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -1,58 +1,62 @@
-//! What a day leaves: service, ends of attempts, series, broken rules, and whether everything is accounted for.
+//! Result of a day: service, counts of ends, time series, rule violations and consistency checks.
 
 use std::collections::BTreeMap;
 
 use mallowring::interface::{CallId, Cause, Outcome};
 use serde::Serialize;
 
-use super::account::{service, Quantiles, Service, Work};
-use super::processor::Up;
-use super::rules::Broken;
-use super::{AskState, Ev, World};
+use super::account::{service, ProcessorWork, Quantiles, Service};
+use super::processor::RunState;
+use super::rules::Violation;
+use super::{Event, RequestState, Simulation};
 use crate::day::SECOND;
 
-/// How tries and attempts ended.
+/// Counts of how callers' requests and the proxies' attempts ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Ends {
-    /// Tries of callers.
+    /// Requests of callers: first calls, redials and re-established calls.
     pub tries: u64,
-    /// Attempts that left a proxy.
+    /// Attempts of the proxies.
     pub attempts: u64,
-    /// Tries that stood.
-    pub stood: u64,
-    /// Tries that were turned down.
+    /// Requests of callers that led to an established call.
+    #[serde(rename = "stood")]
+    pub established: u64,
+    /// Requests of callers that were refused, rejected or failed.
     pub refused: u64,
-    /// Calls in transit that were turned back.
+    /// Transit calls that a tandem's proxy refused, rejected or failed.
     #[serde(rename = "turned_back")]
     pub cranked_back: u64,
-    /// Callers that left early.
-    pub left: u64,
-    /// Requests that died with their proxy.
+    /// Requests abandoned by impatient callers.
+    #[serde(rename = "left")]
+    pub abandoned: u64,
+    /// Requests without a final answer when their proxy stopped.
     pub lost: u64,
-    /// Calls that stood and were cut.
+    /// Established calls that were cut.
     pub cut: u64,
-    /// Set-ups that a far processor turned away.
-    pub full: u64,
-    /// Attempts that found no circuit.
+    /// Set-ups that a far processor refused.
+    #[serde(rename = "full")]
+    pub far_processor_full: u64,
+    /// Attempts that found too few free circuits.
     pub no_circuit: u64,
-    /// Attempts that the own processor did not take.
-    pub own_full: u64,
-    /// Attempts that found nobody.
+    /// Attempts that the sending processor did not accept.
+    #[serde(rename = "own_full")]
+    pub own_processor_full: u64,
+    /// Attempts to an exchange that could not be reached.
     pub no_connection: u64,
-    /// Attempts that broke on their way.
+    /// Attempts that report_violation on their way.
     pub reset: u64,
-    /// What the proxies logged, by the text without its figures.
+    /// Number of the proxies' log lines, by their text after the first colon.
     pub logs: BTreeMap<String, u64>,
 }
 
-/// The most kinds of log lines that are kept.
-const LOGS: usize = 50;
+/// Kinds of log lines, and requests without an end, that a result lists at most.
+const MAX_KEPT: usize = 50;
 
 impl Ends {
-    pub(super) fn count(&mut self, outcome: Outcome, why: Cause) {
-        match (outcome, why) {
+    pub(super) fn count(&mut self, outcome: Outcome, failure_cause: Cause) {
+        match (outcome, failure_cause) {
             (Outcome::NotSent, Cause::NoCircuit) => self.no_circuit += 1,
-            (Outcome::NotSent, _) => self.own_full += 1,
+            (Outcome::NotSent, _) => self.own_processor_full += 1,
             (Outcome::ConnectFailed, _) => self.no_connection += 1,
             (Outcome::Reset, _) => self.reset += 1,
             _ => {}
@@ -61,75 +65,76 @@
 
     pub(super) fn log(&mut self, text: String) {
         let kind = text.split_once(": ").map_or(text.as_str(), |(_, rest)| rest).to_owned();
-        if self.logs.len() < LOGS || self.logs.contains_key(&kind) {
+        if self.logs.len() < MAX_KEPT || self.logs.contains_key(&kind) {
             *self.logs.entry(kind).or_insert(0) += 1;
         }
     }
 }
 
-/// The state of the fleet at the end of a second.
+/// State of the fleet, sampled once a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Sample {
     /// Share of all circuits in use.
     pub occupancy: f64,
     /// Mean wait at the processors, seconds.
     pub wait: f64,
-    /// Mean level of overload that proxies see at their own processors.
+    /// Mean over the proxies of the overload level of their own processor.
     pub own_level: f64,
-    /// Mean over the proxies of the highest level that they see at a far one.
+    /// Mean over the proxies of the highest overload level of a far exchange.
     pub far_level: f64,
 }
 
-/// One day.
+/// Result of one day.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DayResult {
-    /// Its seed.
+    /// Seed of the day.
     pub seed: u64,
-    /// Exchanges.
+    /// Number of exchanges.
     pub exchanges: usize,
-    /// First tries.
+    /// Calls offered: callers that dialled, redials not counted.
     pub calls: u64,
-    /// Service; its figure is 0 where a rule was broken.
+    /// Service; its score is 0 if a rule was broken.
     pub service: Service,
-    /// The figure without regard to rules.
+    /// The score without regard to rules.
     pub figure_unruled: f64,
-    /// How tries and attempts ended.
+    /// How requests and attempts ended.
     pub ends: Ends,
-    /// Times to standing, by class.
+    /// Set-up delays, by class.
     pub waits: Vec<Quantiles>,
-    /// Share of the calls that stood over a tandem.
+    /// Share of the established calls that were routed over a tandem.
     pub tandem_share: f64,
-    /// Attempts for each first try.
+    /// Attempts per offered call.
     pub sends_per_call: f64,
-    /// Mean share of the time that processors were busy while calls came.
+    /// Mean share of the arrival period for which processors were busy.
     pub busy: f64,
-    /// By second.
+    /// Samples by second.
     pub samples: Vec<Sample>,
-    /// Broken rules.
+    /// Violation rules.
     pub broken_rules: u64,
-    /// The first of them.
-    pub broken: Vec<Broken>,
-    /// What is left over at the end and should not be: a fault of the model.
+    /// The first violations of each rule.
+    pub broken: Vec<Violation>,
+    /// Circuits, jobs and requests left over at the end; each is a fault of the model.
     pub leaks: Vec<String>,
-    /// Little's law over the standing calls: mean number, and rate times mean holding time.
+    /// Both sides of Little's law for established calls: their mean number, and rate times mean holding time.
     #[serde(rename = "little")]
     pub littles_law: [f64; 2],
-    /// Events handled.
+    /// Simulation events handled.
     pub events: u64,
-    /// Set-ups asked for and blocked on each group.
+    /// Set-ups offered to and blocked by each group.
     #[serde(skip)]
     pub groups: Vec<(u64, u64)>,
-    /// Lines of the processors in service at the end.
+    /// Queue statistics of the processors in place at the end.
     #[serde(skip)]
     pub queues: Vec<super::processor::QueueStats>,
 }
 
-impl World<'_> {
+impl Simulation<'_> {
+    /// Samples the state of the fleet.
     pub(super) fn sample(&mut self) {
         let (used, size) = self.groups.iter().fold((0, 0), |(u, s), g| (u + g.used, s + g.size));
         let n = self.day.n as f64;
         let waits: f64 = self.processors.iter().map(|p| p.wait(self.now)).sum();
-        let levels = (0..self.day.n).filter_map(|p| self.seats.levels(p));
+        let levels = (0..self.day.n).filter_map(|p| self.fleet.levels(p));
         let (own, far) = levels.fold((0, 0), |(own, far), l| {
             (own + l.own, far + l.far.iter().map(|(_, level)| *level).max().unwrap_or(0))
         });
@@ -139,44 +144,48 @@
             own_level: own as f64 / n,
             far_level: far as f64 / n,
         });
-        self.queue.put(self.now + SECOND, Ev::Sample);
+        self.queue.schedule(self.now + SECOND, Event::Sample);
     }
 
-    pub(super) fn close_day(mut self) -> DayResult {
-        self.count_standing(0);
+    /// Computes the result and looks for anything left over.
+    pub(super) fn finish_day(mut self) -> DayResult {
+        self.change_established(0);
         let mut leaks = Vec::new();
         for group in self.groups.iter().filter(|g| g.used > 0) {
             leaks.push(format!("group {:?}: {} circuits in use", group.ends, group.used));
         }
         for (ix, processor) in self.processors.iter().enumerate() {
-            if processor.present() > 0 && processor.up == Up::Running {
+            if processor.present() > 0 && processor.state == RunState::Running {
                 leaks.push(format!("processor {ix}: {} jobs in line", processor.present()));
             }
         }
-        let open = |a: &&super::Ask| matches!(a.state, AskState::Open | AskState::Standing);
-        for (ix, ask) in self.asks.iter().enumerate().filter(|(_, a)| open(a)).take(LOGS) {
-            let CallId(id) = super::id_of(ix as super::AskIx);
-            let up = ask.from.map(|leg| &self.legs[leg as usize]);
-            let from = up.map_or(String::new(), |leg| {
-                let CallId(id) = super::id_of(leg.ask);
+        let open = |a: &&super::ProxyRequest| matches!(a.state, RequestState::Open | RequestState::Standing);
+        for (ix, request) in self.requests.iter().enumerate().filter(|(_, a)| open(a)).take(MAX_KEPT) {
+            let CallId(id) = super::call_id(ix as super::RequestIx);
+            let incoming = request.incoming_leg.map(|leg| &self.legs[leg as usize]);
+            let origin = incoming.map_or(String::new(), |leg| {
+                let CallId(id) = super::call_id(leg.request);
                 format!("; it is call {id} of proxy {}, whose attempt is {:?}", leg.from, leg.state)
             });
-            leaks.push(format!("call {id} of proxy {} has no end: {:?}{from}", ask.at, ask.state));
+            leaks.push(format!(
+                "call {id} of proxy {} has no end: {:?}{origin}",
+                request.proxy, request.state
+            ));
         }
         let processors = || self.processors.iter().chain(&self.retired);
-        let work = Work { done: processors().map(|p| p.done).sum() };
-        let busy: f64 = processors().map(|p| p.busy).sum();
-        let mut service = service(self.day, self.callers, &self.fates, work);
+        let work = ProcessorWork { done: processors().map(|p| p.work_done).sum() };
+        let busy: f64 = processors().map(|p| p.busy_us).sum();
+        let mut service = service(self.day, self.callers, &self.call_results, work);
         let figure_unruled = service.figure;
-        if self.watch.count > 0 {
+        if self.rule_monitor.count > 0 {
             service.figure = 0.0;
         }
         let calls = self.callers.len() as u64;
-        let stood = self.fates.iter().filter(|f| f.stood.is_some()).count();
-        let tandems = self.fates.iter().filter(|f| f.stood.is_some() && f.tandem).count();
+        let established = self.call_results.iter().filter(|f| f.established_at.is_some()).count();
+        let tandems = self.call_results.iter().filter(|f| f.established_at.is_some() && f.tandem).count();
         let span = (self.now.max(1)) as f64;
-        let rate = self.ends.stood as f64 / span;
-        let mean = self.stood_time / (self.ends.stood.max(1)) as f64;
+        let rate = self.ends.established as f64 / span;
+        let mean = self.total_holding_us / (self.ends.established.max(1)) as f64;
         let seconds = (self.day.end / SECOND) as usize;
         self.samples.truncate(seconds + 1);
         DayResult {
@@ -185,18 +194,18 @@
             calls,
             service,
             figure_unruled,
-            waits: self.waits.quantiles(),
-            tandem_share: tandems as f64 / stood.max(1) as f64,
+            waits: self.set_up_delays.quantiles(),
+            tandem_share: tandems as f64 / established.max(1) as f64,
             sends_per_call: self.ends.attempts as f64 / calls.max(1) as f64,
             busy: busy / self.day.n as f64 / self.day.end.max(1) as f64,
             ends: self.ends,
             samples: self.samples,
-            broken_rules: self.watch.count,
-            broken: self.watch.broken,
+            broken_rules: self.rule_monitor.count,
+            broken: self.rule_monitor.broken,
             leaks,
-            littles_law: [self.standing_area / span, rate * mean],
-            events: self.events,
-            groups: self.groups.iter().map(|g| (g.asked, g.blocked)).collect(),
+            littles_law: [self.established_us / span, rate * mean],
+            events: self.events_handled,
+            groups: self.groups.iter().map(|g| (g.offered, g.blocked)).collect(),
             queues: self.processors.into_iter().map(|p| p.stats).collect(),
         }
     }
--- a/crates/lab/src/world/rules.rs
+++ b/crates/lab/src/world/rules.rs
@@ -1,5 +1,5 @@
-//! The rules, checked from outside: whatever the code under test believes of itself, what it did is held against
-//! what it was told and when.
+//! Checks the proxies' behaviour against the rules, independently of their own bookkeeping: each effect is compared
+//! with the events that the proxy had received by then.
 
 use std::collections::BTreeMap;
 
@@ -8,74 +8,84 @@
 
 use crate::day::{Us, SECOND};
 
-/// A rule.
+/// A rule that proxies must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final answer for each call that was taken, before its caller gives up, and true.
+    /// Each request gets exactly one final answer, before its caller gives up, and a positive one only if an exchange
+    /// answered.
     FinalAnswer,
-    /// One attempt out at a time, and not too many.
+    /// A request has at most one pending attempt and no more attempts than allowed.
     OneAttempt,
-    /// Nothing new to an exchange some time after it was told to drain or be gone.
+    /// No new set-up to an exchange after a grace period from the roster update that drains or removes it.
     Drains,
-    /// No cold exchange pushed over.
+    /// No cold exchange fails because it is sent too many set-ups.
     ColdExchange,
-    /// No send for a call soon after a time-out, reset or cancel.
+    /// No further attempt of a request too soon after a time-out, reset or cancellation.
     Release,
-    /// A send that makes no sense: to the own exchange, or of a call in transit past its destination.
-    Sense,
+    /// No set-up to the proxy's own exchange, to an unknown one, or of a transit call past its destination.
+    #[serde(rename = "sense")]
+    Route,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Broken {
-    /// Which.
+pub struct Violation {
+    /// The rule.
     pub rule: Rule,
-    /// When, seconds.
+    /// Time of the day, seconds.
     pub at_s: f64,
-    /// The signalling proxy, where it was one.
+    /// The signalling proxy, if one caused it.
     pub proxy: Option<usize>,
-    /// The call, where it was one.
+    /// The call, if one is concerned.
     pub call: Option<String>,
     /// What happened.
     pub what: String,
 }
 
-/// The most that are kept of each rule; the rest are counted.
-const KEPT: usize = 5;
+/// Violations kept of each rule; further ones are only counted.
+const MAX_KEPT_PER_RULE: usize = 5;
 
-/// Watches the rules.
+/// Records violations, and the roster updates that the checks need.
 #[derive(Debug, Default)]
-pub struct Watch {
-    /// The first breaks of each rule.
-    pub broken: Vec<Broken>,
-    /// How many there were.
+pub struct RuleMonitor {
+    /// The first violations of each rule.
+    pub broken: Vec<Violation>,
+    /// Number of all violations.
     pub count: u64,
-    told: BTreeMap<(usize, ExchangeId), Us>,
+    /// When each proxy first received the update that an exchange drains or is removed.
+    unavailable_from: BTreeMap<(usize, ExchangeId), Us>,
 }
 
-impl Watch {
-    /// A rule was broken.
-    pub fn broke(&mut self, rule: Rule, now: Us, proxy: Option<usize>, call: Option<String>, what: &str) {
+impl RuleMonitor {
+    /// Records a violation.
+    pub fn report_violation(
+        &mut self,
+        rule: Rule,
+        now: Us,
+        proxy: Option<usize>,
+        call: Option<String>,
+        what: &str,
+    ) {
         self.count += 1;
-        if self.broken.iter().filter(|b| b.rule == rule).count() < KEPT {
+        if self.broken.iter().filter(|b| b.rule == rule).count() < MAX_KEPT_PER_RULE {
             let at_s = now as f64 / SECOND as f64;
-            self.broken.push(Broken { rule, at_s, proxy, call, what: what.to_owned() });
+            self.broken.push(Violation { rule, at_s, proxy, call, what: what.to_owned() });
         }
     }
 
-    /// A proxy was told that an exchange drains or is gone.
-    pub fn told(&mut self, proxy: usize, office: ExchangeId, now: Us) {
-        self.told.entry((proxy, office)).or_insert(now);
+    /// Records that a proxy received the update that an exchange drains or is removed.
+    pub fn note_unavailable(&mut self, proxy: usize, exchange_id: ExchangeId, now: Us) {
+        self.unavailable_from.entry((proxy, exchange_id)).or_insert(now);
     }
 
-    /// A proxy starts again, and has been told nothing yet.
+    /// Discards the updates that a proxy received, as it restarts.
     pub fn forget(&mut self, proxy: usize) {
-        self.told.retain(|(p, _), _| *p != proxy);
+        self.unavailable_from.retain(|(p, _), _| *p != proxy);
     }
 
-    /// Whether a send to an exchange comes too late after that.
-    pub fn is_shut(&self, proxy: usize, office: ExchangeId, now: Us, grace: Us) -> bool {
-        self.told.get(&(proxy, office)).is_some_and(|at| now > at + grace)
+    /// Whether a set-up to an exchange comes more than `grace` after that update.
+    pub fn is_unavailable(&self, proxy: usize, exchange_id: ExchangeId, now: Us, grace: Us) -> bool {
+        self.unavailable_from.get(&(proxy, exchange_id)).is_some_and(|at| now > at + grace)
     }
 }
--- a/crates/lab/src/world/trouble.rs
+++ b/crates/lab/src/world/trouble.rs
@@ -1,9 +1,9 @@
-//! Troubles as they happen. Surges and lopsided load are in the traffic already.
+//! Troubles as they handle. Surges and lopsided load are in the traffic already.
 
 use mallowring::interface::{Cause, Outcome, ServiceState};
 
-use super::processor::Up;
-use super::{AskIx, AskState, Ev, LegIx, World};
+use super::processor::RunState;
+use super::{Event, LegIx, RequestIx, RequestState, Simulation};
 use crate::day::TroubleDay;
 use crate::random::{noise, Purpose};
 use crate::LabError;
@@ -11,110 +11,111 @@
 /// One step of a trouble.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Step {
-    /// An old processor drains.
+    /// An exchange's processor is announced as draining.
     Drain(usize),
-    /// It stops.
+    /// A drained processor stops.
     Stop(usize),
-    /// A processor dies without a word.
-    Die(usize),
-    /// A new one starts.
+    /// A processor crashes without notice.
+    Crash(usize),
+    /// A new processor starts.
     Start(usize),
-    /// The groups of a region keep a part of their circuits.
-    Lose(usize, f64),
-    /// Processors of a trouble run so many times slower than before.
-    Slow(usize, f64),
+    /// The groups between a region and the others keep this share of their circuits.
+    KeepCircuits(usize, f64),
+    /// The work of a trouble's processors takes this factor longer than before.
+    ScaleWork(usize, f64),
     /// A proxy is killed.
-    Kill(usize),
-    /// It starts again.
-    Rise(usize),
-    /// The roster stops for the proxies of a trouble.
-    Deafen(usize),
-    /// It goes on.
-    Hear(usize),
+    KillProxy(usize),
+    /// A killed proxy starts again.
+    StartProxy(usize),
+    /// The proxies of a trouble receive no more roster updates.
+    StopRoster(usize),
+    /// They receive the updates that they missed.
+    ResumeRoster(usize),
 }
 
-impl World<'_> {
+impl Simulation<'_> {
+    /// Schedules the steps of the day's troubles.
     pub(super) fn plan_troubles(&mut self) {
         for (ix, trouble) in self.day.troubles.iter().enumerate() {
-            let mut put = |at, step| self.queue.put(at, Ev::Trouble(step));
+            let mut schedule = |at, step| self.queue.schedule(at, Event::Trouble(step));
             match trouble {
                 TroubleDay::Surge(..) | TroubleDay::Lopsided(..) => {}
                 TroubleDay::Replace(span, exchange, start) => {
-                    put(span.at, Step::Drain(*exchange));
-                    put(span.until, Step::Stop(*exchange));
-                    put(*start, Step::Start(*exchange));
+                    schedule(span.at, Step::Drain(*exchange));
+                    schedule(span.until, Step::Stop(*exchange));
+                    schedule(*start, Step::Start(*exchange));
                 }
                 TroubleDay::LostCircuits(span, region, keep) => {
-                    put(span.at, Step::Lose(*region, *keep));
-                    put(span.until, Step::Lose(*region, 1.0));
+                    schedule(span.at, Step::KeepCircuits(*region, *keep));
+                    schedule(span.until, Step::KeepCircuits(*region, 1.0));
                 }
                 TroubleDay::Slow(span, _, size) => {
-                    put(span.at, Step::Slow(ix, *size));
-                    put(span.until, Step::Slow(ix, 1.0 / size));
+                    schedule(span.at, Step::ScaleWork(ix, *size));
+                    schedule(span.until, Step::ScaleWork(ix, 1.0 / size));
                 }
-                TroubleDay::Crash(at, exchange, back) => {
-                    put(*at, Step::Die(*exchange));
-                    if let Some(back) = back {
-                        put(*back, Step::Start(*exchange));
+                TroubleDay::Crash(at, exchange, restart_at) => {
+                    schedule(*at, Step::Crash(*exchange));
+                    if let Some(restart_at) = restart_at {
+                        schedule(*restart_at, Step::Start(*exchange));
                     }
                 }
                 TroubleDay::ProxyRestart(span, exchange) => {
-                    put(span.at, Step::Kill(*exchange));
-                    put(span.until, Step::Rise(*exchange));
+                    schedule(span.at, Step::KillProxy(*exchange));
+                    schedule(span.until, Step::StartProxy(*exchange));
                 }
                 TroubleDay::RosterStopped(span, _) => {
-                    put(span.at, Step::Deafen(ix));
-                    put(span.until, Step::Hear(ix));
+                    schedule(span.at, Step::StopRoster(ix));
+                    schedule(span.until, Step::ResumeRoster(ix));
                 }
             }
         }
     }
 
-    pub(super) fn trouble(&mut self, step: Step) -> Result<(), LabError> {
+    pub(super) fn apply_trouble(&mut self, step: Step) -> Result<(), LabError> {
         match step {
-            Step::Drain(x) if self.processors[x].up == Up::Running => {
-                let (office, started) = (self.processors[x].office, self.processors[x].started);
-                let entry = self.entry(x, office, ServiceState::Draining, started);
-                self.announce(self.now + self.day.planned, entry);
+            Step::Drain(x) if self.processors[x].state == RunState::Running => {
+                let (exchange_id, started) = (self.processors[x].exchange_id, self.processors[x].started);
+                let entry = self.roster_entry(x, exchange_id, ServiceState::Draining, started);
+                self.publish_roster_update(self.now + self.day.planned, entry);
             }
-            Step::Stop(x) if self.processors[x].up == Up::Running => {
-                self.retire(x, self.day.planned);
+            Step::Stop(x) if self.processors[x].state == RunState::Running => {
+                self.take_out_of_service(x, self.day.planned);
             }
-            Step::Die(x) if self.processors[x].up == Up::Running => {
-                self.retire(x, self.day.notice);
+            Step::Crash(x) if self.processors[x].state == RunState::Running => {
+                self.take_out_of_service(x, self.day.notice);
             }
-            // One that was pushed over stays down, and one that runs needs no successor.
-            Step::Start(x) if self.processors[x].up == Up::Down && !self.fallen(x) => {
+            // A processor that failed cold stays down, and one that runs needs no replacement.
+            Step::Start(x) if self.processors[x].state == RunState::Down && !self.failed_cold(x) => {
                 self.start_processor(x);
-                self.tell_groups(x);
+                self.report_groups(x);
             }
-            Step::Drain(_) | Step::Stop(_) | Step::Die(_) | Step::Start(_) => {}
-            Step::Lose(region, keep) => self.lose_circuits(region, keep),
-            Step::Slow(ix, factor) => {
+            Step::Drain(_) | Step::Stop(_) | Step::Crash(_) | Step::Start(_) => {}
+            Step::KeepCircuits(region, keep) => self.limit_circuits(region, keep),
+            Step::ScaleWork(ix, factor) => {
                 if let Some(TroubleDay::Slow(_, exchanges, _)) = self.day.troubles.get(ix) {
                     for x in exchanges {
-                        self.processors[*x].slow *= factor;
+                        self.processors[*x].slowdown *= factor;
                     }
                 }
             }
-            Step::Kill(proxy) => self.kill_proxy(proxy)?,
-            Step::Rise(proxy) => {
-                if !self.proxies[proxy].up {
+            Step::KillProxy(proxy) => self.kill_proxy(proxy)?,
+            Step::StartProxy(proxy) => {
+                if !self.proxies[proxy].running {
                     self.start_proxy(proxy)?;
                 }
             }
-            Step::Deafen(ix) => {
+            Step::StopRoster(ix) => {
                 if let Some(TroubleDay::RosterStopped(span, exchanges)) = self.day.troubles.get(ix) {
                     for x in exchanges {
-                        self.proxies[*x].deaf_until = span.until;
+                        self.proxies[*x].roster_stopped_until = span.until;
                     }
                 }
             }
-            Step::Hear(ix) => {
+            Step::ResumeRoster(ix) => {
                 if let Some(TroubleDay::RosterStopped(_, exchanges)) = self.day.troubles.get(ix) {
                     for x in exchanges {
-                        for news in std::mem::take(&mut self.proxies[*x].missed) {
-                            self.tell_news(*x, news);
+                        for update in std::mem::take(&mut self.proxies[*x].missed_updates) {
+                            self.deliver_roster_update(*x, update);
                         }
                     }
                 }
@@ -123,22 +124,23 @@
         Ok(())
     }
 
-    /// A processor goes, and the roster knows some time later.
-    fn retire(&mut self, x: usize, notice: super::Us) {
-        let (office, started) = (self.processors[x].office, self.processors[x].started);
+    /// Takes a processor out of service; the roster lists this after a delay.
+    fn take_out_of_service(&mut self, x: usize, delay: super::Us) {
+        let (exchange_id, started) = (self.processors[x].exchange_id, self.processors[x].started);
         self.stop_processor(x);
-        self.gone.insert(office);
-        let entry = self.entry(x, office, ServiceState::Removed, started);
-        self.announce(self.now + notice, entry);
+        self.removed.insert(exchange_id);
+        let entry = self.roster_entry(x, exchange_id, ServiceState::Removed, started);
+        self.publish_roster_update(self.now + delay, entry);
     }
 
-    /// Down, and not because it was taken out of service.
-    fn fallen(&self, x: usize) -> bool {
-        !self.gone.contains(&self.processors[x].office)
+    /// Whether a stopped processor failed cold, so that it was never taken out of service.
+    fn failed_cold(&self, x: usize) -> bool {
+        !self.removed.contains(&self.processors[x].exchange_id)
     }
 
-    /// The groups between one region and the others keep a part of their circuits; calls on the lost ones are cut.
-    fn lose_circuits(&mut self, region: usize, keep: f64) {
+    /// Sets the share of their circuits that the groups between a region and the others keep; calls on lost circuits
+    /// are cut.
+    fn limit_circuits(&mut self, region: usize, keep: f64) {
         for group in 0..self.groups.len() {
             let [a, b] = self.groups[group].ends;
             let inside = [a, b].map(|x| self.day.region[x] == region);
@@ -147,49 +149,54 @@
             }
             let g = &mut self.groups[group];
             g.working = (f64::from(g.size) * keep).floor() as u32;
-            let mut on: Vec<LegIx> =
-                self.active.iter().filter(|l| self.legs[**l as usize].group == group).copied().collect();
-            // Chance says which circuits are lost.
+            let mut users: Vec<LegIx> = self
+                .legs_with_circuits
+                .iter()
+                .filter(|l| self.legs[**l as usize].group == group)
+                .copied()
+                .collect();
+            // The legs that lose their circuits are chosen at random.
             let seed = self.day.seed ^ Purpose::Trouble as u64;
-            let chance = |leg: &LegIx| (noise(seed, group as u64, u64::from(*leg)) * 1e9) as u64;
-            on.sort_by_key(chance);
-            for leg in on {
-                if self.groups[group].lost() == 0 {
+            let random_order = |leg: &LegIx| (noise(seed, group as u64, u64::from(*leg)) * 1e9) as u64;
+            users.sort_by_key(random_order);
+            for leg in users {
+                if self.groups[group].excess() == 0 {
                     break;
                 }
-                self.cut(leg);
+                self.break_leg(leg);
             }
-            self.changed(group);
+            self.group_changed(group);
         }
     }
 
-    /// A proxy dies: what it had taken and not answered is lost, and set-ups on its connections are given up.
+    /// Kills a proxy: requests without a final answer are lost, and set-ups on its connections are cancelled.
     fn kill_proxy(&mut self, proxy: usize) -> Result<(), LabError> {
-        if !self.proxies[proxy].up {
+        if !self.proxies[proxy].running {
             return Ok(());
         }
-        self.seats.stop(proxy)?;
-        let seat = &mut self.proxies[proxy];
-        seat.up = false;
-        seat.generation += 1;
-        seat.inbox.clear();
-        seat.missed.clear();
-        let open: Vec<AskIx> = std::mem::take(&mut seat.open).into_iter().collect();
-        self.watch.forget(proxy);
+        self.fleet.stop(proxy)?;
+        let state = &mut self.proxies[proxy];
+        state.running = false;
+        state.generation += 1;
+        state.inbox.clear();
+        state.missed_updates.clear();
+        let open: Vec<RequestIx> = std::mem::take(&mut state.open_requests).into_iter().collect();
+        self.rule_monitor.forget(proxy);
         for ix in open {
-            let ask = &mut self.asks[ix as usize];
-            ask.state = AskState::Left;
-            let (out, from, caller) = (ask.out.take(), ask.from, ask.caller);
-            if let Some(leg) = out {
-                self.let_go(leg);
+            let request = &mut self.requests[ix as usize];
+            request.state = RequestState::Left;
+            let (pending_leg, incoming_leg, caller) =
+                (request.pending_leg.take(), request.incoming_leg, request.caller);
+            if let Some(leg) = pending_leg {
+                self.release_leg(leg);
             }
             self.ends.lost += 1;
-            match from {
+            match incoming_leg {
                 Some(leg) => {
                     let at = self.arrival(proxy, self.legs[leg as usize].from);
-                    self.queue.put(at, Ev::EndAt(leg, Outcome::Reset, Cause::Unspecified));
+                    self.queue.schedule(at, Event::FailureArrives(leg, Outcome::Reset, Cause::Unspecified));
                 }
-                None => self.try_ended(caller, None),
+                None => self.dial_failed(caller, None),
             }
         }
         Ok(())
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -151,5 +151,5 @@
             }
         }
     });
-    breaks(&play(&scenario(10, BUSY), 1, &mut rogue), Rule::Sense);
+    breaks(&play(&scenario(10, BUSY), 1, &mut rogue), Rule::Route);
 }
--- a/crates/lab/tests/world.rs
+++ b/crates/lab/tests/world.rs
@@ -22,7 +22,7 @@
     assert!((day.littles_law[0] / day.littles_law[1] - 1.0).abs() < 1e-9, "{:?}", day.littles_law);
     // Every try ends once: it stands, is turned down, is left, or dies with its proxy.
     let ends = &day.ends;
-    assert_eq!(ends.tries, ends.stood + ends.refused + ends.left + ends.lost);
+    assert_eq!(ends.tries, ends.established + ends.refused + ends.abandoned + ends.lost);
 }
 
 #[test]
@@ -160,7 +160,12 @@
         play(&scenario(20, &text), 2, &mut Direct::default())
     };
     let (behind, ahead) = (day(false), day(true));
-    assert!(ahead.ends.stood > behind.ends.stood, "{} {}", ahead.ends.stood, behind.ends.stood);
+    assert!(
+        ahead.ends.established > behind.ends.established,
+        "{} {}",
+        ahead.ends.established,
+        behind.ends.established
+    );
 }
 
 #[test]
