--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,4 +1,4 @@
-//! One day of a scenario: every range drawn, the groups sized, the troubles put on the clock.
+//! One day of a scenario: draws every range, sizes the groups and schedules the troubles.
 
 use mallowring::interface::Settings;
 use rand_pcg::Pcg64;
@@ -11,234 +11,234 @@
 pub type Us = u64;
 /// One second.
 pub const SECOND: Us = 1_000_000;
-/// Where the proxies' clocks stand at the start of the day, seconds.
+/// Reading of the proxies' clocks at the start of the day, seconds.
 pub const EPOCH: f64 = 1000.0;
 
-/// Figures of a processor.
+/// Parameters of the processors.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessorParameters {
-    /// Time of a set-up at full capacity, µs; 0 for no work at all.
+    /// Processing time of a set-up at full capacity, µs; 0 if no task takes time.
     pub set_up_us: f64,
     /// Work of inspecting an incoming call, set-ups.
     pub inspect: f64,
-    /// Work of turning away, set-ups.
+    /// Work of a refusal, set-ups.
     pub refuse: f64,
     /// Work of an answer or a release, set-ups.
     pub answer_or_release: f64,
-    /// Longest wait of a set-up, µs.
+    /// Wait above which set-ups are refused, µs.
     pub longest_wait_us: f64,
-    /// What follows a set-up goes before new ones.
+    /// Whether answers and releases go before new set-ups.
     pub finish_first: bool,
-    /// A set-up that was given up is dropped.
+    /// Whether the receiving exchange drops a set-up that was cancelled.
     pub cancel_drops: bool,
-    /// How long the same work takes.
+    /// Distribution of the processing time.
     pub work: WorkTime,
-    /// Share of the capacity at a cold start.
+    /// Share of the full capacity at a cold start.
     pub cold_from: f64,
-    /// Time to be warm, µs.
+    /// Time from a cold start to full capacity, µs.
     pub cold_us: f64,
-    /// Window of the rule on cold processors, µs.
+    /// Window over which the rule on cold processors counts set-ups, µs.
     pub fall_us: Us,
-    /// Multiple of that rule.
+    /// Multiple of the present capacity at which a cold processor fails.
     pub fall_multiple: f64,
 }
 
 impl ProcessorParameters {
-    /// Work of a call that goes direct, set-ups: an inspection, a set-up, an answer and a release at either end.
+    /// Work of a call that is routed direct, set-ups: an inspection, a set-up, an answer and a release at either end.
     pub fn direct(&self) -> f64 {
         self.inspect + 2.0 + 4.0 * self.answer_or_release
     }
 
-    /// Work of a call over a tandem.
+    /// Work of a call that is routed over a tandem, set-ups.
     pub fn tandem(&self) -> f64 {
         2.0 * self.inspect + 3.0 + 6.0 * self.answer_or_release
     }
 }
 
-/// A class on this day.
+/// A class of calls with the day's values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassDay {
     /// Its name.
     pub name: String,
-    /// Its part of the calls, all classes together 1.
+    /// Its share of the calls; the shares of all classes sum to 1.
     pub share: f64,
-    /// Circuits.
+    /// Circuits that a call needs on each group.
     pub width: u32,
-    /// Mean holding time, s, and its coefficient of variation.
+    /// Mean holding time, s.
     pub hold_s: f64,
-    /// The latter.
+    /// Coefficient of variation of the holding time.
     pub hold_cv: f64,
-    /// Aim, s.
+    /// Set-up delay up to which a call has its full worth, s.
     pub aim_s: f64,
-    /// Give-up time, s.
+    /// Time after which callers give up, s.
     pub give_up_s: f64,
-    /// Worth.
+    /// Worth of a call.
     pub worth: f64,
-    /// Share of it when late.
+    /// Share of the worth of a call that is established later.
     pub late_worth: f64,
 }
 
-/// A subscriber on this day.
+/// A tenant with the day's values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantDay {
     /// Its name.
     pub name: String,
-    /// Its share.
+    /// Its share of the fleet's quota.
     pub share: f64,
-    /// Its part of the calls, all together 1.
-    pub part: f64,
-    /// Calls a second within its share, over the fleet.
+    /// Its share of the calls offered; the shares of all tenants sum to 1.
+    pub call_share: f64,
+    /// Calls per second within its share, over the fleet.
     pub quota: f64,
 }
 
-/// Habits of callers on this day.
+/// The callers' behaviour with the day's values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallersDay {
-    /// Further tries, mean.
+    /// Mean of the highest number of redials.
     pub redials: f64,
-    /// Share of the give-up time that one try lasts.
+    /// Share of the give-up time after which a request is given up.
     pub try_share: f64,
     /// Wait before a redial, s.
     pub wait_s: f64,
-    /// How it grows.
+    /// How the wait grows.
     pub backoff: Backoff,
-    /// Share that heeds cool-downs.
-    pub heed: f64,
-    /// Share that leaves early.
-    pub impatient: f64,
-    /// Share of cut calls that come again.
-    pub come_again: f64,
-    /// Redials are marked.
-    pub marked: bool,
+    /// Share of the callers that heed cool-downs.
+    pub heed_share: f64,
+    /// Share of the callers that abandon early.
+    pub impatient_share: f64,
+    /// Share of the callers that re-establish a cut call.
+    pub reestablish_share: f64,
+    /// Whether requests mark redials.
+    pub redials_marked: bool,
 }
 
-/// A span of a trouble, µs: its start, and the moment after its end.
+/// The time span of a trouble, µs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span {
     /// Its start.
     pub at: Us,
-    /// The first moment after it.
+    /// Its end, exclusive.
     pub until: Us,
 }
 
 impl Span {
-    /// Whether a moment is within.
-    pub fn holds(&self, now: Us) -> bool {
+    /// Whether a time is within the span.
+    pub fn contains(&self, now: Us) -> bool {
         (self.at..self.until).contains(&now)
     }
 }
 
-/// A trouble with its figures drawn and its exchanges named; see [`Trouble`] for what each does.
+/// A trouble with the day's values and exchanges; [`Trouble`] describes the effects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TroubleDay {
-    /// Times the usual, and the rise and fall, µs each.
+    /// Span, factor on the load, and length of the rise and of the fall, µs.
     Surge(Span, f64, Us),
-    /// The exchanges that get this share of all calls.
+    /// Span, exchanges, and their additional share of all calls.
     Lopsided(Span, Vec<usize>, f64),
-    /// One exchange's processor drains for the span; its successor starts at the moment named last.
+    /// Span for which an exchange's processor drains, the exchange, and the start of the replacement.
     Replace(Span, usize, Us),
-    /// The region, and the part of its groups to others that is kept.
+    /// Span, region, and the share of circuits that its groups to other regions keep.
     LostCircuits(Span, usize, f64),
-    /// The exchanges, and how many times slower.
+    /// Span, exchanges, and the factor on their processing times.
     Slow(Span, Vec<usize>, f64),
-    /// The exchange whose processor dies, and when a new one starts there.
+    /// Time of the crash, the exchange, and the start of a new processor, if any.
     Crash(Us, usize, Option<Us>),
-    /// The exchange whose proxy is away for the span.
+    /// Span for which the proxy is stopped, and its exchange.
     ProxyRestart(Span, usize),
-    /// The proxies that are told nothing.
+    /// Span, and the proxies that receive no roster updates.
     RosterStopped(Span, Vec<usize>),
 }
 
-/// All figures of one day.
+/// All parameters of one day.
 #[derive(Clone, Debug)]
 pub struct Day {
-    /// Its seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Exchanges.
+    /// Number of exchanges.
     pub n: usize,
-    /// Regions by name.
+    /// Names of the regions.
     pub regions: Vec<String>,
-    /// Region of each exchange.
+    /// Index of each exchange's region.
     pub region: Vec<usize>,
-    /// End of the arrivals, µs.
+    /// End of the arrival period, µs.
     pub end: Us,
-    /// A proxy's tick, µs.
+    /// Interval at which proxies handle their events, µs.
     pub tick: Us,
-    /// One way between exchanges, µs, by `from * n + to`.
-    pub flight: Vec<f64>,
-    /// Its spread, as a share.
+    /// Mean one-way transmission time between exchanges, µs, by `from * n + to`.
+    pub transmission_us: Vec<f64>,
+    /// Largest deviation from the mean transmission time, as a share of it.
     pub jitter: f64,
-    /// Ends and sizes of groups.
+    /// Ends and sizes of the trunk groups.
     pub groups: Vec<([usize; 2], u32)>,
-    /// Calls a second from one exchange to another at load 1, by `from * n + to`.
+    /// Calls per second from one exchange to another at planned load, by `from * n + to`.
     pub rates: Vec<f64>,
-    /// Factors on them in each span of [`Day::drift_span`], by span and pair.
+    /// Factors on the rates, by span of length [`Day::drift_span`] and pair of exchanges.
     pub drift: Vec<Vec<f64>>,
-    /// µs.
+    /// Length of a drift span, µs.
     pub drift_span: Us,
-    /// Offered over planned.
+    /// Offered load over planned load.
     pub offered: f64,
-    /// Factors on all rates from a moment on, µs.
+    /// Factors on all rates, each with the time from which it applies, µs.
     pub bursts: Vec<(Us, f64)>,
-    /// Processors.
+    /// Parameters of the processors.
     pub processor: ProcessorParameters,
-    /// Reports: period and delay, µs, and noise.
+    /// Interval between a processor's load measurements, µs.
     pub report_period: Us,
-    /// µs.
+    /// Time until reports use a measurement, µs.
     pub report_delay: Us,
-    /// A share.
+    /// Standard deviation of the measurement noise, as a share.
     pub report_noise: f64,
-    /// News: delay of planned changes and of deaths, and spread over the proxies, µs.
-    pub planned: Us,
-    /// µs.
-    pub notice: Us,
-    /// µs.
-    pub spread: Us,
-    /// The centre's looks and their age at first use, µs.
+    /// Delay until the roster publishes a planned change, µs.
+    pub planned_delay: Us,
+    /// Delay until the roster publishes a crash, µs.
+    pub crash_delay: Us,
+    /// Longest further delay until a proxy receives a roster update, µs.
+    pub roster_spread: Us,
+    /// The centre's survey interval and the delay until its advice uses a survey, µs.
     pub centre: Option<(Us, Us)>,
-    /// Classes.
+    /// Classes of calls.
     pub classes: Vec<ClassDay>,
-    /// Subscribers.
+    /// Tenants.
     pub tenants: Vec<TenantDay>,
-    /// Habits.
+    /// The callers' behaviour.
     pub callers: CallersDay,
-    /// Attempts of one request.
-    pub attempts: u32,
-    /// The pause after a time-out, reset or cancel, µs.
-    pub release: Us,
-    /// The grace after a drain is told, µs.
-    pub drain: Us,
-    /// Slack of a final answer, µs.
-    pub slack: Us,
-    /// Longest cool-down, s.
-    pub cool_down: f64,
-    /// Worth beyond a share.
-    pub over_share: f64,
-    /// Troubles on the clock.
+    /// Highest number of attempts of one request.
+    pub max_attempts: u32,
+    /// Pause of a request's attempts after a time-out, reset or cancellation, µs.
+    pub release_pause: Us,
+    /// Time after a drain's roster update for which new set-ups are allowed, µs.
+    pub drain_grace: Us,
+    /// Time after a request's deadline for which a final answer is allowed, µs.
+    pub answer_slack: Us,
+    /// Longest cool-down that callers accept, s; 0 if they accept none.
+    pub longest_cool_down_s: f64,
+    /// Factor on the worth of calls beyond a tenant's share.
+    pub over_share_worth: f64,
+    /// Troubles of the day.
     pub troubles: Vec<TroubleDay>,
 }
 
-/// Seconds as µs.
+/// Converts seconds to µs.
 pub fn us(seconds: f64) -> Us {
     (seconds * SECOND as f64).round().max(0.0) as Us
 }
 
 impl Day {
-    /// The day of a seed.
+    /// Draws the day of a seed.
     pub fn draw(scenario: &Scenario, seed: u64) -> Day {
         let rng = &mut stream(seed, Purpose::Day, 0);
         let n = (scenario.fleet.exchanges.draw(rng).round() as usize).max(2);
         let regions = scenario.fleet.regions.clone();
         let region: Vec<usize> = (0..n).map(|x| x % regions.len()).collect();
         let (same, cross) = (scenario.fleet.same_ms.draw(rng), scenario.fleet.cross_ms);
-        // Regions lie where they lie: one figure for each pair of them.
-        let between: Vec<f64> = (0..regions.len() * regions.len()).map(|_| cross.draw(rng)).collect();
-        let mut flight = vec![0.0; n * n];
+        // One transmission time per pair of regions, which all their exchanges share.
+        let between_regions: Vec<f64> = (0..regions.len() * regions.len()).map(|_| cross.draw(rng)).collect();
+        let mut transmission_us = vec![0.0; n * n];
         for a in 0..n {
             for b in 0..n {
                 let (low, high) = (region[a].min(region[b]), region[a].max(region[b]));
-                let ms = if low == high { same } else { between[low * regions.len() + high] };
-                flight[a * n + b] = ms * 1000.0;
+                let ms = if low == high { same } else { between_regions[low * regions.len() + high] };
+                transmission_us[a * n + b] = ms * 1000.0;
             }
         }
         let classes = draw_classes(scenario, rng);
@@ -248,49 +248,49 @@
             try_share: callers.try_share.draw(rng),
             wait_s: callers.wait_ms.draw(rng) / 1000.0,
             backoff: callers.backoff,
-            heed: callers.heed.draw(rng),
-            impatient: callers.impatient.draw(rng),
-            come_again: callers.come_again.draw(rng),
-            marked: callers.marked,
+            heed_share: callers.heed.draw(rng),
+            impatient_share: callers.impatient.draw(rng),
+            reestablish_share: callers.come_again.draw(rng),
+            redials_marked: callers.marked,
         };
-        // Circuits that one call keeps busy, in circuit-seconds.
+        // Mean circuit-seconds per call.
         let circuit_s: f64 = classes.iter().map(|c| c.share * f64::from(c.width) * c.hold_s).sum();
         let erlangs = scenario.groups.erlangs.draw(rng);
         let calls = erlangs / circuit_s;
         let plan = draw_plan(scenario, &region, calls, rng);
         let groups = draw_groups(scenario, n, &plan, circuit_s, rng);
-        let missed = scenario.groups.missed_cv.draw(rng);
-        let mut rates: Vec<f64> = plan.iter().map(|r| r * lognormal(rng, 1.0, missed)).collect();
+        let plan_error_cv = scenario.groups.missed_cv.draw(rng);
+        let mut rates: Vec<f64> = plan.iter().map(|r| r * lognormal(rng, 1.0, plan_error_cv)).collect();
         scale(&mut rates, calls * n as f64);
         let end = us(scenario.seconds.draw(rng));
         let (drift, drift_span) = draw_drift(scenario, &rates, end, rng);
         let bursts = draw_bursts(scenario, end, rng);
-        let p = &scenario.processor;
+        let ranges = &scenario.processor;
         let rules = &scenario.rules;
         let mut processor = ProcessorParameters {
             set_up_us: 0.0,
-            inspect: p.look.draw(rng),
-            refuse: p.refuse.draw(rng),
-            answer_or_release: p.follow.draw(rng),
-            longest_wait_us: p.longest_wait_ms.draw(rng) * 1000.0,
-            finish_first: p.finish_first,
-            cancel_drops: p.cancel_drops,
-            work: p.work,
-            cold_from: p.cold_from.draw(rng),
-            cold_us: p.cold_s.draw(rng) * SECOND as f64,
+            inspect: ranges.look.draw(rng),
+            refuse: ranges.refuse.draw(rng),
+            answer_or_release: ranges.follow.draw(rng),
+            longest_wait_us: ranges.longest_wait_ms.draw(rng) * 1000.0,
+            finish_first: ranges.finish_first,
+            cancel_drops: ranges.cancel_drops,
+            work: ranges.work,
+            cold_from: ranges.cold_from.draw(rng),
+            cold_us: ranges.cold_s.draw(rng) * SECOND as f64,
             fall_us: us(rules.fall_ms.draw(rng) / 1000.0),
             fall_multiple: rules.fall_multiple.draw(rng),
         };
-        // At the planned load an exchange gives and takes as many calls, all direct.
-        processor.set_up_us = p.busy.draw(rng) / (calls * processor.direct()) * SECOND as f64;
+        // At planned load each exchange sends and receives `calls` calls per second, all routed direct.
+        processor.set_up_us = ranges.busy.draw(rng) / (calls * processor.direct()) * SECOND as f64;
         let quota = calls * n as f64 * rules.quota.draw(rng);
-        let used: Vec<(f64, f64)> =
+        let shares_and_usages: Vec<(f64, f64)> =
             scenario.tenants.iter().map(|t| (t.share.draw(rng), t.usage.draw(rng))).collect();
-        let all: f64 = used.iter().map(|(share, usage)| share * usage).sum();
-        let tenants = scenario.tenants.iter().zip(&used).map(|(t, (share, usage))| TenantDay {
+        let all: f64 = shares_and_usages.iter().map(|(share, usage)| share * usage).sum();
+        let tenants = scenario.tenants.iter().zip(&shares_and_usages).map(|(t, (share, usage))| TenantDay {
             name: t.name.clone(),
             share: *share,
-            part: share * usage / all.max(1e-9),
+            call_share: share * usage / all.max(1e-9),
             quota: share * quota,
         });
         let tenants = tenants.collect();
@@ -302,7 +302,7 @@
             region,
             end,
             tick: ms(scenario.fleet.tick_ms.draw(rng)).max(1),
-            flight,
+            transmission_us,
             jitter: scenario.fleet.jitter.draw(rng),
             groups,
             rates,
@@ -314,31 +314,32 @@
             report_period: ms(scenario.reports.period_ms.draw(rng)).max(1),
             report_delay: ms(scenario.reports.delay_ms.draw(rng)),
             report_noise: scenario.reports.noise.draw(rng),
-            planned: us(scenario.roster.planned_s.draw(rng)),
-            notice: us(scenario.roster.notice_s.draw(rng)),
-            spread: ms(scenario.roster.spread_ms.draw(rng)),
+            planned_delay: us(scenario.roster.planned_s.draw(rng)),
+            crash_delay: us(scenario.roster.notice_s.draw(rng)),
+            roster_spread: ms(scenario.roster.spread_ms.draw(rng)),
             centre: None,
             classes,
             tenants,
             callers,
-            attempts: rules.attempts,
-            release: ms(rules.release_ms.draw(rng)),
-            drain: ms(rules.drain_ms.draw(rng)),
-            slack: ms(rules.slack_ms.draw(rng)),
-            cool_down: rules.longest_cool_down_s.draw(rng),
-            over_share: rules.over_share_worth.draw(rng),
+            max_attempts: rules.attempts,
+            release_pause: ms(rules.release_ms.draw(rng)),
+            drain_grace: ms(rules.drain_ms.draw(rng)),
+            answer_slack: ms(rules.slack_ms.draw(rng)),
+            longest_cool_down_s: rules.longest_cool_down_s.draw(rng),
+            over_share_worth: rules.over_share_worth.draw(rng),
             troubles: Vec::new(),
         };
         day.centre =
             scenario.centre.as_ref().map(|c| (us(c.every_s.draw(rng)).max(1), us(c.late_s.draw(rng))));
         for (ix, trouble) in scenario.troubles.iter().enumerate() {
             let rng = &mut stream(seed, Purpose::Trouble, ix as u64);
-            day.put_trouble(trouble, rng);
+            day.draw_trouble(trouble, rng);
         }
         day
     }
 
-    fn put_trouble(&mut self, trouble: &Trouble, rng: &mut Pcg64) {
+    /// Draws a trouble's values and exchanges.
+    fn draw_trouble(&mut self, trouble: &Trouble, rng: &mut Pcg64) {
         let n = self.n;
         let pick = |who: Option<&Who>, rng: &mut Pcg64| match who {
             None => (0..n).collect(),
@@ -404,8 +405,8 @@
         }
     }
 
-    /// What the proxy of an exchange is told at its start, in the form of the platform's settings.
-    pub fn facts(&self, me: usize) -> Value {
+    /// The settings that the proxy of an exchange receives at its start, in the platform's format.
+    pub fn facts(&self, exchange: usize) -> Value {
         let class = |c: &ClassDay| {
             json!({"name": c.name, "target": c.aim_s, "give_up": c.give_up_s, "semantics": "free",
                 "key_scope": "all", "window": 5.0, "streamed": true, "worth": c.worth,
@@ -415,29 +416,29 @@
             |t: &TenantDay| json!({"name": t.name, "portion": t.share, "quota_per_s": t.quota.round()});
         let s = |us: Us| us as f64 / SECOND as f64;
         json!({
-            "az": self.regions[self.region[me]],
+            "az": self.regions[self.region[exchange]],
             "classes": self.classes.iter().map(class).collect::<Vec<_>>(),
-            "clients": {"marks_retry": self.callers.marked},
+            "clients": {"marks_retry": self.callers.redials_marked},
             "discovery": "pushed",
             "extra": {"allowed_pools": [], "centre_advises": self.centre.is_some(),
                 "class_width": self.classes.iter().map(|c| c.width).collect::<Vec<_>>(),
                 "far_state": "piggyback",
                 "mean_hold": self.classes.iter().map(|c| c.hold_s).collect::<Vec<_>>(),
-                "network_form": "network", "release": s(self.release), "retransmit": 0.0,
-                "says_wait": false, "self_no": me},
+                "network_form": "network", "release": s(self.release_pause), "retransmit": 0.0,
+                "says_wait": false, "self_no": exchange},
             "family": "trunks",
             "kinds": ["single-core"],
             "limits": {"cancel": true, "conn_idle": 600.0, "connect_timeout": 0.5,
-                "cpu_us_per_request": 0.0, "cpu_us_per_s": 300000, "max_attempts": self.attempts,
-                "max_open": 20000, "max_retry_after": self.cool_down, "multiplex": 1_048_576,
+                "cpu_us_per_request": 0.0, "cpu_us_per_s": 300000, "max_attempts": self.max_attempts,
+                "max_open": 20000, "max_retry_after": self.longest_cool_down_s, "multiplex": 1_048_576,
                 "parallel_tries": false, "peers": false, "probing": false,
-                "retry_after": self.cool_down > 0.0},
-            "my_number": me,
+                "retry_after": self.longest_cool_down_s > 0.0},
+            "my_number": exchange,
             "n_instances": self.n,
-            "over_share_worth": self.over_share,
+            "over_share_worth": self.over_share_worth,
             "prices": {"late_fail": 0.03, "probe": 0.0, "waste": 0.02},
-            "rules": {"answer_slack": s(self.slack), "ask_every": 10.0, "cold_from": self.processor.cold_from,
-                "drain_grace": s(self.drain), "fall": s(self.processor.fall_us),
+            "rules": {"answer_slack": s(self.answer_slack), "ask_every": 10.0, "cold_from": self.processor.cold_from,
+                "drain_grace": s(self.drain_grace), "fall": s(self.processor.fall_us),
                 "fall_multiple": self.processor.fall_multiple, "warm_within": self.processor.cold_us / SECOND as f64},
             "telemetry": {"fields": ["idle", "circuits", "reduce", "avg_ms"], "how": "piggyback"},
             "tenants": self.tenants.iter().map(tenant).collect::<Vec<_>>(),
@@ -450,18 +451,19 @@
         })
     }
 
-    /// The same as the module reads it.
-    pub fn settings(&self, me: usize) -> Settings {
-        // The facts are written above in the form that is read here.
-        mallowring::wire::read_settings(&self.facts(me)).expect("facts of a day are settings")
+    /// The same settings as the decision module reads them.
+    pub fn settings(&self, exchange: usize) -> Settings {
+        // `facts` writes the format that is read here.
+        mallowring::wire::read_settings(&self.facts(exchange)).expect("facts of a day are settings")
     }
 
-    /// Calls a second that the fleet was planned for.
+    /// Calls per second that the fleet was planned for.
     pub fn planned_calls(&self) -> f64 {
         self.rates.iter().sum()
     }
 }
 
+/// Draws the classes and normalises their shares.
 fn draw_classes(scenario: &Scenario, rng: &mut Pcg64) -> Vec<ClassDay> {
     let mut classes: Vec<_> = scenario
         .classes
@@ -485,6 +487,7 @@
     classes
 }
 
+/// Scales rates to a sum.
 fn scale(rates: &mut [f64], sum: f64) {
     let all: f64 = rates.iter().sum();
     for rate in rates {
@@ -492,8 +495,8 @@
     }
 }
 
-/// Calls a second by pair as planned: a gravity model with chance, balanced so that every exchange gives and
-/// takes `calls`.
+/// Planned calls per second by pair: a randomised gravity model, balanced so that every exchange sends and receives
+/// `calls`.
 fn draw_plan(scenario: &Scenario, region: &[usize], calls: f64, rng: &mut Pcg64) -> Vec<f64> {
     let n = region.len();
     let (cv, local) = (scenario.groups.pair_cv.draw(rng), scenario.groups.local.draw(rng));
@@ -518,6 +521,7 @@
     plan
 }
 
+/// Sizes a trunk group for each pair of exchanges.
 fn draw_groups(
     scenario: &Scenario,
     n: usize,
@@ -526,41 +530,43 @@
     rng: &mut Pcg64,
 ) -> Vec<([usize; 2], u32)> {
     let spare = scenario.groups.spare.draw(rng);
-    let widest = scenario.classes.iter().map(|c| c.width).max().unwrap_or(1);
+    let greatest_width = scenario.classes.iter().map(|c| c.width).max().unwrap_or(1);
     let mut groups = Vec::new();
     for a in 0..n {
         for b in a + 1..n {
             let erlangs = (plan[a * n + b] + plan[b * n + a]) * circuit_s;
-            let size = (erlangs + spare * erlangs.sqrt()).ceil().max(f64::from(widest)) as u32;
+            let size = (erlangs + spare * erlangs.sqrt()).ceil().max(f64::from(greatest_width)) as u32;
             groups.push(([a, b], scenario.groups.size.unwrap_or(size)));
         }
     }
     groups
 }
 
+/// Draws the drift of the rates, by span and pair; each span keeps the sum of the rates.
 fn draw_drift(scenario: &Scenario, rates: &[f64], end: Us, rng: &mut Pcg64) -> (Vec<Vec<f64>>, Us) {
     let (cv, span) = (scenario.groups.drift_cv.draw(rng), us(scenario.groups.drift_s.draw(rng)).max(1));
     let spans = (end / span + 1) as usize;
     let all: f64 = rates.iter().sum();
     let drift = (0..spans).map(|_| {
         let mut factors: Vec<f64> = rates.iter().map(|_| lognormal(rng, 1.0, cv)).collect();
-        let moved: f64 = factors.iter().zip(rates).map(|(f, r)| f * r).sum();
-        factors.iter_mut().for_each(|f| *f *= all / moved.max(1e-12));
+        let drifted: f64 = factors.iter().zip(rates).map(|(f, r)| f * r).sum();
+        factors.iter_mut().for_each(|f| *f *= all / drifted.max(1e-12));
         factors
     });
     (drift.collect(), span)
 }
 
+/// Draws the alternating factors of a bursty load, each with its start.
 fn draw_bursts(scenario: &Scenario, end: Us, rng: &mut Pcg64) -> Vec<(Us, f64)> {
     let (swing, mean) = (scenario.load.swing.draw(rng), scenario.load.swing_s.draw(rng));
     let mut bursts = vec![(0, 1.0)];
     if scenario.load.shape == Shape::Bursty {
-        let (mut at, mut up) = (0.0, true);
+        let (mut at, mut high) = (0.0, true);
         while us(at) < end {
-            bursts.push((us(at), if up { 1.0 + swing } else { 1.0 - swing }));
-            // Half to one and a half times the mean: spans, not noise.
+            bursts.push((us(at), if high { 1.0 + swing } else { 1.0 - swing }));
+            // Half to one and a half times the mean length.
             at += mean * (0.5 + crate::random::unit(rng));
-            up = !up;
+            high = !high;
         }
     }
     bursts
--- a/crates/lab/src/proxy/direct.rs
+++ b/crates/lab/src/proxy/direct.rs
@@ -1,5 +1,5 @@
-//! Proxies without any control: every call goes direct, once, and what is turned away is refused. Theory speaks of
-//! such systems, so the model is held against it with them.
+//! Proxies without overload control: every call is routed direct with one attempt, and refused if that fails. The
+//! model is compared with queueing theory by means of them.
 
 use std::collections::BTreeMap;
 
@@ -12,68 +12,83 @@
 use crate::day::Day;
 use crate::LabError;
 
-/// A fleet of them.
+/// A fleet of proxies that route direct only.
 #[derive(Debug, Default)]
 pub struct Direct {
-    proxies: BTreeMap<usize, One>,
+    proxies: BTreeMap<usize, DirectProxy>,
 }
 
+/// The state of one proxy.
 #[derive(Debug, Default)]
-struct One {
-    offices: BTreeMap<ExchangeNumber, ExchangeId>,
-    /// Attempts that are out.
-    out: BTreeMap<CallId, ExchangeId>,
+struct DirectProxy {
+    exchange_ids: BTreeMap<ExchangeNumber, ExchangeId>,
+    /// Pending attempts.
+    pending: BTreeMap<CallId, ExchangeId>,
 }
 
-impl One {
-    fn take(&mut self, now: Time, input: CallEvent, out: &mut Vec<CallEffect>) {
-        let near = |id, near| CallEffect::Caller(Front::Platform, id, near);
-        match input {
-            CallEvent::Roster { entries: offices, .. } => {
-                for office in offices.into_iter().filter(|o| o.state == ServiceState::InService) {
-                    self.offices.insert(office.number, office.id);
+impl DirectProxy {
+    fn handle(&mut self, now: Time, event: CallEvent, effects: &mut Vec<CallEffect>) {
+        let caller_effect = |id, command| CallEffect::Caller(Front::Platform, id, command);
+        match event {
+            CallEvent::Roster { entries: roster_entries, .. } => {
+                for entry in roster_entries.into_iter().filter(|e| e.state == ServiceState::InService) {
+                    self.exchange_ids.insert(entry.number, entry.id);
                 }
             }
-            CallEvent::Request(request) => match self.offices.get(&request.dest) {
-                Some(office) => {
-                    self.out.insert(request.id.clone(), *office);
-                    let last = now + (request.ttl - MARGIN).max(0.0);
-                    out.push(CallEffect::StartTimer(last, CallTimer::AttemptTimeout(request.id.clone(), 0)));
-                    out.push(set_up(now, *office, request));
+            CallEvent::Request(request) => match self.exchange_ids.get(&request.dest) {
+                Some(exchange_id) => {
+                    self.pending.insert(request.id.clone(), *exchange_id);
+                    let timeout = now + (request.ttl - MARGIN).max(0.0);
+                    effects.push(CallEffect::StartTimer(
+                        timeout,
+                        CallTimer::AttemptTimeout(request.id.clone(), 0),
+                    ));
+                    effects.push(set_up(now, *exchange_id, request));
                 }
-                None => out.push(near(request.id, CallerCommand::Refuse(None))),
-            },
-            CallEvent::Answered { id, exchange: office, description, .. } => match self.out.remove(&id) {
-                Some(_) => out.push(near(id, CallerCommand::Answer(description))),
-                None => out.push(CallEffect::Exchange(office, id, ExchangeCommand::Release { leg: Some(0) })),
+                None => effects.push(caller_effect(request.id, CallerCommand::Refuse(None))),
             },
-            CallEvent::SetUpFailed { id, .. } if self.out.remove(&id).is_some() => {
-                out.push(near(id, CallerCommand::Refuse(None)));
+            CallEvent::Answered { id, exchange: exchange_id, description, .. } => {
+                match self.pending.remove(&id) {
+                    Some(_) => effects.push(caller_effect(id, CallerCommand::Answer(description))),
+                    None => effects.push(CallEffect::Exchange(
+                        exchange_id,
+                        id,
+                        ExchangeCommand::Release { leg: Some(0) },
+                    )),
+                }
+            }
+            CallEvent::SetUpFailed { id, .. } if self.pending.remove(&id).is_some() => {
+                effects.push(caller_effect(id, CallerCommand::Refuse(None)));
             }
             CallEvent::TimerExpired(CallTimer::AttemptTimeout(id, _)) => {
-                if let Some(office) = self.out.remove(&id) {
-                    out.push(CallEffect::Exchange(
-                        office,
+                if let Some(exchange_id) = self.pending.remove(&id) {
+                    effects.push(CallEffect::Exchange(
+                        exchange_id,
                         id.clone(),
                         ExchangeCommand::CancelSetUp { leg: 0 },
                     ));
-                    out.push(near(id, CallerCommand::Refuse(None)));
+                    effects.push(caller_effect(id, CallerCommand::Refuse(None)));
                 }
             }
             CallEvent::CallerGaveUp(id) => {
-                if let Some(office) = self.out.remove(&id) {
-                    out.push(CallEffect::Exchange(office, id, ExchangeCommand::CancelSetUp { leg: 0 }));
+                if let Some(exchange_id) = self.pending.remove(&id) {
+                    effects.push(CallEffect::Exchange(
+                        exchange_id,
+                        id,
+                        ExchangeCommand::CancelSetUp { leg: 0 },
+                    ));
                 }
             }
-            CallEvent::ExchangeReleased { id, completed: whole, .. } => {
-                out.push(near(id, CallerCommand::Release { completed: whole }))
+            CallEvent::ExchangeReleased { id, completed: is_completed, .. } => {
+                effects.push(caller_effect(id, CallerCommand::Release { completed: is_completed }))
             }
             _ => {}
         }
     }
 }
 
-fn set_up(now: Time, office: ExchangeId, request: Request) -> CallEffect {
+/// The single attempt of a request.
+fn set_up(now: Time, exchange_id: ExchangeId, request: Request) -> CallEffect {
     let set_up = SetUp {
         leg: 0,
         class: request.class,
@@ -83,12 +98,12 @@
         description: request.description,
         abandon_at: now + request.ttl,
     };
-    CallEffect::Exchange(office, request.id, ExchangeCommand::SetUp(set_up))
+    CallEffect::Exchange(exchange_id, request.id, ExchangeCommand::SetUp(set_up))
 }
 
 impl ProxyFleet for Direct {
     fn start(&mut self, _: &Day, proxy: usize, _: Time, _: u64) -> Result<(), LabError> {
-        self.proxies.insert(proxy, One::default());
+        self.proxies.insert(proxy, DirectProxy::default());
         Ok(())
     }
 
@@ -100,16 +115,16 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        let mut commands = Vec::new();
-        for (proxy, inputs) in told {
-            let Some(one) = self.proxies.get_mut(&proxy) else { continue };
-            for input in inputs {
-                one.take(now, input, &mut commands);
+        let mut effects = Vec::new();
+        for (proxy, inbox) in events {
+            let Some(direct_proxy) = self.proxies.get_mut(&proxy) else { continue };
+            for event in inbox {
+                direct_proxy.handle(now, event, &mut effects);
             }
-            out.extend(commands.drain(..).map(|command| (proxy, command)));
+            out.extend(effects.drain(..).map(|effect| (proxy, effect)));
         }
         Ok(())
     }
--- a/crates/lab/src/proxy/follow.rs
+++ b/crates/lab/src/proxy/follow.rs
@@ -1,4 +1,4 @@
-//! Writes down all that the proxies were told and commanded about some calls.
+//! Traces the events and effects of selected calls.
 
 use mallowring::calls::{CallEffect, CallEvent, CallTimer};
 use mallowring::interface::{CallId, Time};
@@ -8,27 +8,28 @@
 use crate::day::EPOCH;
 use crate::LabError;
 
-/// A fleet with an ear.
+/// Wraps a fleet and records the events and effects of selected calls.
 pub struct CallTrace<S> {
     inner: S,
     calls: Vec<CallId>,
-    /// What was heard, a line each.
+    /// One line per event (`<-`) or effect (`->`).
     pub lines: Vec<String>,
 }
 
 impl<S> CallTrace<S> {
-    /// Listens for these calls.
+    /// Traces these calls.
     pub fn new(inner: S, calls: Vec<CallId>) -> Self {
         CallTrace { inner, calls, lines: Vec::new() }
     }
 
-    fn line(&mut self, now: Time, proxy: usize, what: &str) {
-        self.lines.push(format!("{:10.4} s  proxy {proxy}  {what}", now.0 - EPOCH));
+    fn record(&mut self, now: Time, proxy: usize, text: &str) {
+        self.lines.push(format!("{:10.4} s  proxy {proxy}  {text}", now.0 - EPOCH));
     }
 }
 
-fn told_of(input: &CallEvent) -> Option<&CallId> {
-    match input {
+/// The call that an event is about.
+fn call_of_event(event: &CallEvent) -> Option<&CallId> {
+    match event {
         CallEvent::Request(request) => Some(&request.id),
         CallEvent::CallerGaveUp(id)
         | CallEvent::CallerReleased(id)
@@ -40,8 +41,9 @@
     }
 }
 
-fn commanded_of(command: &CallEffect) -> Option<&CallId> {
-    match command {
+/// The call that an effect is about.
+fn call_of_effect(effect: &CallEffect) -> Option<&CallId> {
+    match effect {
         CallEffect::Caller(_, id, _) | CallEffect::Exchange(_, id, _) => Some(id),
         _ => None,
     }
@@ -59,21 +61,21 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        for (proxy, inputs) in &told {
-            for input in inputs {
-                if told_of(input).is_some_and(|id| self.calls.contains(id)) {
-                    self.line(now, *proxy, &format!("<- {input:?}"));
+        for (proxy, inbox) in &events {
+            for event in inbox {
+                if call_of_event(event).is_some_and(|id| self.calls.contains(id)) {
+                    self.record(now, *proxy, &format!("<- {event:?}"));
                 }
             }
         }
-        let from = out.len();
-        self.inner.tick(now, told, out)?;
-        for (proxy, command) in &out[from..] {
-            if commanded_of(command).is_some_and(|id| self.calls.contains(id)) {
-                self.line(now, *proxy, &format!("-> {command:?}"));
+        let first_new = out.len();
+        self.inner.tick(now, events, out)?;
+        for (proxy, effect) in &out[first_new..] {
+            if call_of_effect(effect).is_some_and(|id| self.calls.contains(id)) {
+                self.record(now, *proxy, &format!("-> {effect:?}"));
             }
         }
         Ok(())
--- a/crates/lab/src/proxy/mod.rs
+++ b/crates/lab/src/proxy/mod.rs
@@ -1,5 +1,5 @@
-//! Who sits in the proxies' seats: the shipped call table with the shipped module, a program that speaks the
-//! simulator's wire, both side by side, or a policy made for a test.
+//! Implementations of [`ProxyFleet`]: the shipped call table with the shipped decision module, an external program
+//! that speaks the simulator's protocol, two fleets side by side, and a simple policy for tests.
 
 mod direct;
 mod follow;
--- a/crates/lab/src/proxy/recorded.rs
+++ b/crates/lab/src/proxy/recorded.rs
@@ -1,4 +1,4 @@
-//! Shipped proxies whose captures are kept: what they were told, and what they commanded upon each of it.
+//! Shipped proxies that keep captures: each event, followed by the effects that it caused.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::day::Day;
 use crate::LabError;
 
-/// A fleet of them.
+/// A fleet of shipped proxies with a capture of each.
 #[derive(Debug)]
 pub struct Capturing {
     inner: Shipped,
@@ -22,12 +22,12 @@
 }
 
 impl Capturing {
-    /// Empty seats.
+    /// A fleet without running proxies.
     pub fn new(tuning: Tuning) -> Self {
         Capturing { inner: Shipped::new(tuning.clone()), tuning, captures: BTreeMap::new() }
     }
 
-    fn keep(&mut self, proxy: usize, at: Time, kind: EntryKind) {
+    fn record(&mut self, proxy: usize, at: Time, kind: EntryKind) {
         let entries = self.captures.entry(proxy).or_default();
         let seq = entries.len() as u64;
         entries.push(Entry { seq, at, kind });
@@ -40,7 +40,7 @@
         let tenants = day.tenants.iter().map(name);
         let tenants = tenants.map(|name| Tenant { name, suspended: false, max_calls: None }).collect();
         let start = TableStart { settings: day.settings(proxy), tuning: self.tuning.clone(), tenants, seed };
-        self.keep(proxy, now, EntryKind::Start(Box::new(start)));
+        self.record(proxy, now, EntryKind::Start(Box::new(start)));
         self.inner.start(day, proxy, now, seed)
     }
 
@@ -51,17 +51,18 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        for (proxy, inputs) in told {
-            for input in inputs {
-                self.keep(proxy, now, EntryKind::Event(input.clone()));
-                let from = out.len();
-                self.inner.tick(now, vec![(proxy, vec![input])], out)?;
-                let commands: Vec<CallEffect> = out[from..].iter().map(|(_, c)| c.clone()).collect();
-                if !commands.is_empty() {
-                    self.keep(proxy, now, EntryKind::Effects(commands));
+        for (proxy, inbox) in events {
+            for event in inbox {
+                self.record(proxy, now, EntryKind::Event(event.clone()));
+                let first_new = out.len();
+                self.inner.tick(now, vec![(proxy, vec![event])], out)?;
+                let effects: Vec<CallEffect> =
+                    out[first_new..].iter().map(|(_, effect)| effect.clone()).collect();
+                if !effects.is_empty() {
+                    self.record(proxy, now, EntryKind::Effects(effects));
                 }
             }
         }
--- a/crates/lab/src/proxy/shipped.rs
+++ b/crates/lab/src/proxy/shipped.rs
@@ -1,4 +1,4 @@
-//! The shipped call table with the shipped module: the very code that serves.
+//! The shipped call table with the shipped decision module, the same code as in the signalling proxy.
 
 use mallowring::calls::tenants::{Tenant, Tenants};
 use mallowring::calls::{CallEffect, Table};
@@ -9,18 +9,18 @@
 use crate::day::Day;
 use crate::LabError;
 
-/// A fleet of shipped proxies with one set of tuned values.
+/// A fleet of shipped proxies with one tuning.
 #[derive(Debug)]
 pub struct Shipped {
     tuning: Tuning,
     tables: Vec<Option<Table>>,
-    commands: Vec<CallEffect>,
+    effects: Vec<CallEffect>,
 }
 
 impl Shipped {
-    /// Empty seats.
+    /// A fleet without running proxies.
     pub fn new(tuning: Tuning) -> Self {
-        Shipped { tuning, tables: Vec::new(), commands: Vec::new() }
+        Shipped { tuning, tables: Vec::new(), effects: Vec::new() }
     }
 }
 
@@ -38,8 +38,8 @@
     }
 
     fn stop(&mut self, proxy: usize) -> Result<(), LabError> {
-        if let Some(seat) = self.tables.get_mut(proxy) {
-            *seat = None;
+        if let Some(table) = self.tables.get_mut(proxy) {
+            *table = None;
         }
         Ok(())
     }
@@ -47,15 +47,15 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        for (proxy, inputs) in told {
+        for (proxy, inbox) in events {
             let Some(Some(table)) = self.tables.get_mut(proxy) else { continue };
-            for input in inputs {
-                table.handle(now, input, &mut self.commands);
+            for event in inbox {
+                table.handle(now, event, &mut self.effects);
             }
-            out.extend(self.commands.drain(..).map(|command| (proxy, command)));
+            out.extend(self.effects.drain(..).map(|effect| (proxy, effect)));
         }
         Ok(())
     }
--- a/crates/lab/src/proxy/twin.rs
+++ b/crates/lab/src/proxy/twin.rs
@@ -1,5 +1,5 @@
-//! Two ways of driving one build, side by side: both are told the same, the first one's commands count, and every
-//! decision in which the second differs is noted.
+//! Compares two fleets side by side: both receive the same events, only the effects of the first are applied, and the
+//! first decision in which the second differs is recorded for each proxy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 use crate::day::EPOCH;
 use crate::LabError;
 
-/// A decision on a call.
+/// A decision on a call. The variants' names appear in the texts of [`Difference`].
 #[derive(Clone, Debug, PartialEq, Serialize)]
 enum Decision {
     SetUp(u64),
@@ -21,46 +21,48 @@
     Reject,
 }
 
-/// A moment at which the two decided differently on a call.
+/// A difference between the decisions of the two fleets on a call.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    /// When, seconds of the day.
+    /// Time of the day, seconds.
     pub at: f64,
     /// The proxy.
     pub proxy: usize,
     /// The call.
     pub call: String,
-    /// What the first one decided; nothing if it decided nothing.
+    /// The decisions of the first fleet, an empty list if there were none.
     pub first: String,
-    /// What the second one did.
+    /// The decisions of the second fleet.
     pub second: String,
 }
 
-/// Two fleets that are told the same.
+/// Two fleets that receive the same events.
 pub struct Twin<A, B> {
     first: A,
     second: B,
     /// Decisions compared.
     pub decisions: u64,
-    /// The first difference of each proxy. From then on its two sides know different things, and what follows says
-    /// nothing more.
+    /// The first difference of each proxy. Its two sides have different states from then on, so later ones mean
+    /// nothing.
     pub differences: Vec<Difference>,
-    apart: BTreeSet<usize>,
+    /// Proxies whose two sides have differed.
+    diverged: BTreeSet<usize>,
 }
 
 impl<A: ProxyFleet, B: ProxyFleet> Twin<A, B> {
-    /// Puts two fleets side by side.
+    /// Compares two fleets.
     pub fn new(first: A, second: B) -> Self {
-        Twin { first, second, decisions: 0, differences: Vec::new(), apart: BTreeSet::new() }
+        Twin { first, second, decisions: 0, differences: Vec::new(), diverged: BTreeSet::new() }
     }
 }
 
-fn decisions(commands: &[(usize, CallEffect)]) -> BTreeMap<(usize, CallId), Vec<Decision>> {
+/// The decisions among effects, by proxy and call.
+fn decisions(effects: &[(usize, CallEffect)]) -> BTreeMap<(usize, CallId), Vec<Decision>> {
     let mut by_call: BTreeMap<_, Vec<Decision>> = BTreeMap::new();
-    for (proxy, command) in commands {
-        let (id, decision) = match command {
-            CallEffect::Exchange(ExchangeId(office), id, ExchangeCommand::SetUp(_)) => {
-                (id, Decision::SetUp(*office))
+    for (proxy, effect) in effects {
+        let (id, decision) = match effect {
+            CallEffect::Exchange(ExchangeId(exchange_id), id, ExchangeCommand::SetUp(_)) => {
+                (id, Decision::SetUp(*exchange_id))
             }
             CallEffect::Caller(_, id, CallerCommand::Refuse(_)) => (id, Decision::Refuse),
             CallEffect::Caller(_, id, CallerCommand::Fail) => (id, Decision::Fail),
@@ -86,25 +88,25 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        let mut second = Vec::new();
-        let from = out.len();
-        self.second.tick(now, told.clone(), &mut second)?;
-        self.first.tick(now, told, out)?;
-        let (ours, theirs) = (decisions(&out[from..]), decisions(&second));
+        let mut second_effects = Vec::new();
+        let first_new = out.len();
+        self.second.tick(now, events.clone(), &mut second_effects)?;
+        self.first.tick(now, events, out)?;
+        let (by_first, by_second) = (decisions(&out[first_new..]), decisions(&second_effects));
         let none = Vec::new();
-        let calls: BTreeSet<_> = ours.keys().chain(theirs.keys()).collect();
+        let calls: BTreeSet<_> = by_first.keys().chain(by_second.keys()).collect();
         for key in calls {
-            if self.apart.contains(&key.0) {
+            if self.diverged.contains(&key.0) {
                 continue;
             }
-            let (a, b) = (ours.get(key).unwrap_or(&none), theirs.get(key).unwrap_or(&none));
+            let (a, b) = (by_first.get(key).unwrap_or(&none), by_second.get(key).unwrap_or(&none));
             self.decisions += a.len().max(b.len()) as u64;
             if a != b {
                 let (proxy, call) = key.clone();
-                self.apart.insert(proxy);
+                self.diverged.insert(proxy);
                 let (first, second) = (format!("{a:?}"), format!("{b:?}"));
                 self.differences.push(Difference { at: now.0 - EPOCH, proxy, call: call.0, first, second });
             }
--- a/crates/lab/src/proxy/wire.rs
+++ b/crates/lab/src/proxy/wire.rs
@@ -1,6 +1,6 @@
-//! A second version: any program that speaks the simulator's wire on its standard input and output, as
-//! `mallowring-drill` does. What the simulator would keep of each call (the attempt that is out, its time) is kept
-//! here.
+//! A fleet of proxies in an external program, which speaks the simulator's protocol on its standard input and output
+//! as `mallowring-drill` does. This side keeps what the simulator would keep of each call: its pending attempt and
+//! its deadline.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, BufWriter, Write};
@@ -19,10 +19,10 @@
 use crate::day::Day;
 use crate::LabError;
 
-/// Bytes of an answer that is no message at all, at most.
-const BABBLE: usize = 1 << 20;
+/// Longest line that is read from the program, bytes; bounds the memory for output that is no message.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Names of actions.
+/// Names of the actions that a program may answer with.
 const ACTIONS: [&str; 13] = [
     "attempt",
     "say_no",
@@ -39,57 +39,57 @@
     "fetch",
 ];
 
-/// The attempt of a call that has no end yet.
+/// An attempt that has not ended: its set-up is pending or its call established.
 #[derive(Clone, Debug)]
-struct Out {
+struct PendingAttempt {
     leg: u32,
-    office: ExchangeId,
+    exchange_id: ExchangeId,
     sent: Time,
-    stands: bool,
+    established: bool,
 }
 
-/// What the simulator keeps of a call.
+/// A call as the simulator keeps it.
 #[derive(Clone, Debug)]
-struct Kept {
+struct HostedCall {
     class: String,
     number: String,
     width: u32,
     dest: ExchangeNumber,
     description: std::sync::Arc<[u8]>,
-    until: Time,
+    deadline: Time,
     attempts: u32,
-    out: Option<Out>,
+    pending: Option<PendingAttempt>,
 }
 
-/// What the adapter keeps of one instance.
+/// State of one proxy of the program.
 #[derive(Debug, Default)]
 struct Instance {
-    calls: BTreeMap<CallId, Kept>,
+    calls: BTreeMap<CallId, HostedCall>,
     numbers: BTreeMap<ExchangeId, ExchangeNumber>,
-    /// Its first list is the one it held before.
-    fresh: bool,
+    /// Whether its first roster is still to come; that one is sent as a saved roster.
+    awaits_first_roster: bool,
     max_attempts: u32,
 }
 
-/// A fleet whose proxies are all instances of one program.
+/// A fleet whose proxies are all served by one process of an external program.
 pub struct ExternalProgram {
     name: String,
     child: Child,
     input: Option<BufWriter<ChildStdin>>,
     lines: Receiver<std::io::Result<String>>,
     reader: Option<JoinHandle<()>>,
-    patience: Duration,
+    answer_timeout: Duration,
     instances: BTreeMap<usize, Instance>,
     frame: u64,
     version: u64,
     slot: u64,
-    /// Lines of events not sent yet.
+    /// Event messages that are not sent yet.
     events: Vec<Value>,
 }
 
 impl ExternalProgram {
-    /// Starts the program; `patience` bounds the wait for each of its answers, in real time.
-    pub fn start(name: &str, command: &[String], patience: Duration) -> Result<Self, LabError> {
+    /// Starts the program. `answer_timeout` bounds the wait for each of its answers, in real time.
+    pub fn start(name: &str, command: &[String], answer_timeout: Duration) -> Result<Self, LabError> {
         let fault = |what: String| LabError::Program { name: name.to_owned(), what };
         let (program, arguments) =
             command.split_first().ok_or_else(|| fault("names no program".to_owned()))?;
@@ -107,10 +107,10 @@
             let mut output = BufReader::new(output);
             loop {
                 let mut line = String::new();
-                let read = std::io::Read::take(&mut output, BABBLE as u64).read_line(&mut line);
-                let over = matches!(read, Ok(0) | Err(_));
-                let said = read.map(|_| line);
-                if over || send.send(said).is_err() {
+                let read = std::io::Read::take(&mut output, MAX_LINE_BYTES as u64).read_line(&mut line);
+                let ended = matches!(read, Ok(0) | Err(_));
+                let message = read.map(|_| line);
+                if ended || send.send(message).is_err() {
                     return;
                 }
             }
@@ -121,7 +121,7 @@
             input,
             lines,
             reader: Some(reader),
-            patience,
+            answer_timeout,
             instances: BTreeMap::new(),
             frame: 0,
             version: 0,
@@ -130,14 +130,15 @@
         })
     }
 
+    /// An error of the program, with its exit status if it has ended.
     fn fault(&mut self, what: String) -> LabError {
         let ended = self.child.try_wait().ok().flatten();
         let what = ended.map_or(what.clone(), |status| format!("{what} ({status})"));
         LabError::Program { name: self.name.clone(), what }
     }
 
-    /// Sends the events of one moment and reads the actions.
-    fn exchange(&mut self, now: Time) -> Result<Vec<Value>, LabError> {
+    /// Sends the queued events as one batch and reads the actions that answer it.
+    fn run_batch(&mut self, now: Time) -> Result<Vec<Value>, LabError> {
         self.frame += 1;
         let frame = self.frame;
         let mut text = json!({"batch": {"at_time": now.0, "frame": frame}}).to_string();
@@ -153,38 +154,40 @@
         sent.map_err(|e| self.fault(format!("takes no more events: {e}")))?;
         let mut actions = Vec::new();
         loop {
-            let line = match self.lines.recv_timeout(self.patience) {
+            let line = match self.lines.recv_timeout(self.answer_timeout) {
                 Ok(Ok(line)) => line,
                 Ok(Err(e)) => return Err(self.fault(format!("its output can't be read: {e}"))),
                 Err(RecvTimeoutError::Timeout) => {
-                    let patience = self.patience.as_secs_f64();
+                    let patience = self.answer_timeout.as_secs_f64();
                     return Err(self.fault(format!("has not answered a batch within {patience} s")));
                 }
                 Err(RecvTimeoutError::Disconnected) => {
                     return Err(self.fault("has ended before it answered".to_owned()));
                 }
             };
-            let said: Value = serde_json::from_str(&line)
-                .map_err(|e| self.fault(format!("says what is no message: {e}: {}", cut(&line))))?;
-            if let Some(done) = said.get("finished") {
+            let message: Value = serde_json::from_str(&line)
+                .map_err(|e| self.fault(format!("says what is no message: {e}: {}", truncated(&line))))?;
+            if let Some(done) = message.get("finished") {
                 if done.get("frame").and_then(Value::as_u64) != Some(frame) {
-                    return Err(self.fault(format!("answers another batch than {frame}: {}", cut(&line))));
+                    return Err(
+                        self.fault(format!("answers another batch than {frame}: {}", truncated(&line)))
+                    );
                 }
                 return Ok(actions);
             }
-            // Said at once, as one that speaks another language never comes to an end of its answer.
-            let one = said.as_object().filter(|o| o.len() == 1).and_then(|o| o.keys().next());
+            // Reported at once: a program that speaks another protocol may never end its answer.
+            let one = message.as_object().filter(|o| o.len() == 1).and_then(|o| o.keys().next());
             if !one.is_some_and(|name| ACTIONS.contains(&name.as_str())) {
-                return Err(self.fault(format!("says what is no action: {}", cut(&line))));
+                return Err(self.fault(format!("says what is no action: {}", truncated(&line))));
             }
-            actions.push(said);
+            actions.push(message);
         }
     }
 
-    /// Writes down what one proxy was told.
-    fn event(&mut self, now: Time, proxy: usize, input: CallEvent, out: &mut Vec<(usize, CallEffect)>) {
+    /// Queues the message of an event for a proxy, and appends the effects that the simulator itself would cause.
+    fn queue_event(&mut self, now: Time, proxy: usize, event: CallEvent, out: &mut Vec<(usize, CallEffect)>) {
         let Some(instance) = self.instances.get_mut(&proxy) else { return };
-        let mut put = |name: &str, body: Value| {
+        let mut queue_message = |name: &str, body: Value| {
             let mut body = body;
             if let Some(fields) = body.as_object_mut() {
                 fields.insert("server".to_owned(), json!(proxy));
@@ -193,227 +196,291 @@
             message.insert(name.to_owned(), body);
             self.events.push(Value::Object(message));
         };
-        match input {
+        match event {
             CallEvent::Request(mut request) => {
-                // The call table keeps so much back for its answer to arrive in time; so does whoever hosts this.
+                // Deducts the margin that the call table reserves so that its answer arrives in time.
                 request.ttl = (request.ttl - MARGIN).max(0.0);
-                put("arrival", arrival(&request));
-                let kept = Kept {
+                queue_message("arrival", arrival_body(&request));
+                let call = HostedCall {
                     class: request.class,
                     number: request.number,
                     width: request.width,
                     dest: request.dest,
                     description: request.description,
-                    until: now + request.ttl,
+                    deadline: now + request.ttl,
                     attempts: 0,
-                    out: None,
+                    pending: None,
                 };
-                instance.calls.insert(request.id, kept);
+                instance.calls.insert(request.id, call);
             }
             CallEvent::CallerGaveUp(id) | CallEvent::CallerReleased(id) => {
                 let Some(call) = instance.calls.remove(&id) else { return };
-                put("withdrawn", json!({"request_id": wire_id(&id)}));
-                if let Some(o) = call.out {
-                    let far = if o.stands {
-                        ExchangeCommand::Release { leg: Some(o.leg) }
+                queue_message("withdrawn", json!({"request_id": wire_id(&id)}));
+                if let Some(attempt) = call.pending {
+                    let command = if attempt.established {
+                        ExchangeCommand::Release { leg: Some(attempt.leg) }
                     } else {
-                        ExchangeCommand::CancelSetUp { leg: o.leg }
+                        ExchangeCommand::CancelSetUp { leg: attempt.leg }
                     };
-                    out.push((proxy, CallEffect::Exchange(o.office, id, far)));
+                    out.push((proxy, CallEffect::Exchange(attempt.exchange_id, id, command)));
                 }
             }
-            CallEvent::Answered { id, exchange: office, leg, description } => {
-                let found = instance.calls.get_mut(&id).and_then(|c| c.out.as_mut());
-                match found.filter(|o| o.office == office && leg.is_none_or(|l| l == o.leg)) {
-                    Some(o) => {
-                        o.stands = true;
-                        put(
+            CallEvent::Answered { id, exchange: exchange_id, leg, description } => {
+                let found = instance.calls.get_mut(&id).and_then(|c| c.pending.as_mut());
+                match found.filter(|attempt| {
+                    attempt.exchange_id == exchange_id && leg.is_none_or(|l| l == attempt.leg)
+                }) {
+                    Some(attempt) => {
+                        attempt.established = true;
+                        queue_message(
                             "first",
-                            json!({"request_id": wire_id(&id), "leg": o.leg, "office": office.0,
-                                "cost_time": now - o.sent}),
+                            json!({"request_id": wire_id(&id), "leg": attempt.leg, "office": exchange_id.0,
+                                "cost_time": now - attempt.sent}),
                         );
                         out.push((
                             proxy,
                             CallEffect::Caller(Front::Platform, id, CallerCommand::Answer(description)),
                         ));
                     }
-                    None => {
-                        out.push((proxy, CallEffect::Exchange(office, id, ExchangeCommand::Release { leg })))
-                    }
+                    None => out.push((
+                        proxy,
+                        CallEffect::Exchange(exchange_id, id, ExchangeCommand::Release { leg }),
+                    )),
                 }
             }
-            CallEvent::SetUpFailed { id, exchange: office, leg, outcome, cause: why, report } => {
+            CallEvent::SetUpFailed {
+                id,
+                exchange: exchange_id,
+                leg,
+                outcome,
+                cause: failure_cause,
+                report,
+            } => {
                 let call = instance.calls.get_mut(&id);
-                let out = call.and_then(|c| c.out.take_if(|o| !o.stands && leg.is_none_or(|l| l == o.leg)));
-                match out {
-                    Some(o) => put("answer", answer(&id, &o, office, (outcome, why), now, false, &report)),
-                    // It crossed a giving up: what it reports is news all the same.
-                    None if report != LoadReport::default() => put("status_back", status(office, &report)),
+                let ended_attempt = call.and_then(|c| {
+                    c.pending.take_if(|attempt| !attempt.established && leg.is_none_or(|l| l == attempt.leg))
+                });
+                match ended_attempt {
+                    Some(attempt) => queue_message(
+                        "answer",
+                        answer_body(
+                            &id,
+                            &attempt,
+                            exchange_id,
+                            (outcome, failure_cause),
+                            now,
+                            false,
+                            &report,
+                        ),
+                    ),
+                    // It crossed a cancellation; its load report is still of use.
+                    None if report != LoadReport::default() => {
+                        queue_message("status_back", status_body(exchange_id, &report))
+                    }
                     None => {}
                 }
             }
-            CallEvent::ExchangeReleased { id, exchange: office, completed: whole, report } => {
+            CallEvent::ExchangeReleased { id, exchange: exchange_id, completed: is_completed, report } => {
                 let Some(call) = instance.calls.get(&id) else { return };
-                let Some(o) = call.out.clone().filter(|o| o.stands) else { return };
+                let Some(attempt) = call.pending.clone().filter(|attempt| attempt.established) else {
+                    return;
+                };
                 instance.calls.remove(&id);
-                let outcome = if whole { Outcome::Completed } else { Outcome::Reset };
-                put("answer", answer(&id, &o, office, (outcome, Cause::Unspecified), now, true, &report));
+                let outcome = if is_completed { Outcome::Completed } else { Outcome::Reset };
+                queue_message(
+                    "answer",
+                    answer_body(
+                        &id,
+                        &attempt,
+                        exchange_id,
+                        (outcome, Cause::Unspecified),
+                        now,
+                        true,
+                        &report,
+                    ),
+                );
                 out.push((
                     proxy,
-                    CallEffect::Caller(Front::Platform, id, CallerCommand::Release { completed: whole }),
+                    CallEffect::Caller(
+                        Front::Platform,
+                        id,
+                        CallerCommand::Release { completed: is_completed },
+                    ),
                 ));
             }
-            CallEvent::Status { exchange: office, report } => {
-                put("status_back", status(office, &report));
+            CallEvent::Status { exchange: exchange_id, report } => {
+                queue_message("status_back", status_body(exchange_id, &report));
             }
-            CallEvent::Roster { full: whole, entries: offices } => {
+            CallEvent::Roster { full: is_full, entries: roster_entries } => {
                 self.version += 1;
                 let slot = self.slot;
                 self.slot = (self.slot + 1) % 16;
-                for office in &offices {
-                    instance.numbers.insert(office.id, office.number);
+                for entry in &roster_entries {
+                    instance.numbers.insert(entry.id, entry.number);
                 }
-                let kind = match (whole, std::mem::take(&mut instance.fresh)) {
+                let kind = match (is_full, std::mem::take(&mut instance.awaits_first_roster)) {
                     (true, true) => "SAVED",
                     (true, false) => "FULL",
                     (false, _) => "INCREMENTAL",
                 };
-                let entries: Vec<Value> = offices.iter().map(entry).collect();
-                let news = json!({"gen": self.version, "slot": slot, "kind": kind});
-                put("announce", news);
-                // The manifest stands ahead of what refers to it.
+                let entries: Vec<Value> = roster_entries.iter().map(roster_element).collect();
+                let announcement = json!({"gen": self.version, "slot": slot, "kind": kind});
+                queue_message("announce", announcement);
+                // The manifest goes ahead of the announcement that refers to it.
                 let at = self.events.len() - 1;
                 self.events.insert(at, json!({"manifest": {"slot": slot, "elements": entries}}));
-                self.gone(now, proxy, whole, &offices, out);
+                self.fail_calls_of_removed(now, proxy, is_full, &roster_entries, out);
+            }
+            CallEvent::TimerExpired(CallTimer::Controller(token)) => {
+                queue_message("ring", json!({"ref": token.0}))
             }
-            CallEvent::TimerExpired(CallTimer::Controller(token)) => put("ring", json!({"ref": token.0})),
             CallEvent::TimerExpired(CallTimer::AttemptTimeout(id, leg)) => {
                 let Some(call) = instance.calls.get_mut(&id) else { return };
-                let Some(o) = call.out.take_if(|o| o.leg == leg && !o.stands) else { return };
+                let Some(attempt) =
+                    call.pending.take_if(|attempt| attempt.leg == leg && !attempt.established)
+                else {
+                    return;
+                };
                 out.push((
                     proxy,
-                    CallEffect::Exchange(o.office, id.clone(), ExchangeCommand::CancelSetUp { leg }),
+                    CallEffect::Exchange(
+                        attempt.exchange_id,
+                        id.clone(),
+                        ExchangeCommand::CancelSetUp { leg },
+                    ),
                 ));
                 let (end, report) = ((Outcome::TimedOut, Cause::Unspecified), LoadReport::default());
-                put("answer", answer(&id, &o, o.office, end, now, false, &report));
+                queue_message(
+                    "answer",
+                    answer_body(&id, &attempt, attempt.exchange_id, end, now, false, &report),
+                );
             }
-            // The end of a caller's time and the death of an exchange are the world's to tell.
-            // The wire has no word for the last: its states never cease.
+            // The simulation reports the end of a caller's time and of an exchange by other events. The simulator's
+            // protocol has no message for a lost status.
             CallEvent::TimerExpired(CallTimer::Deadline(_))
             | CallEvent::ExchangeDown(_)
             | CallEvent::StatusLost(_) => {}
         }
     }
 
-    /// Sends the events that were written down, and carries the answers out. What an action brings about at once is
-    /// told in a further batch of the same moment.
-    fn answer_events(&mut self, now: Time, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
+    /// Sends the queued events and applies the actions that answer them. Events that an action causes at once are sent
+    /// in a further batch of the same time.
+    fn send_events(&mut self, now: Time, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
         while !self.events.is_empty() {
-            let mut again = Vec::new();
-            for action in self.exchange(now)? {
-                if let Some((proxy, command)) = self.act(now, &action, &mut again)? {
-                    let until = match &command {
+            let mut follow_ups = Vec::new();
+            for action in self.run_batch(now)? {
+                if let Some((proxy, command)) = self.apply_action(now, &action, &mut follow_ups)? {
+                    let timeout = match &command {
                         CallEffect::Exchange(_, id, ExchangeCommand::SetUp(s)) => {
                             Some((s.abandon_at, CallTimer::AttemptTimeout(id.clone(), s.leg)))
                         }
                         _ => None,
                     };
                     out.push((proxy, command));
-                    out.extend(until.map(|(at, wake)| (proxy, CallEffect::StartTimer(at, wake))));
+                    out.extend(timeout.map(|(at, timer)| (proxy, CallEffect::StartTimer(at, timer))));
                 }
             }
-            for (proxy, input) in again {
-                self.event(now, proxy, input, out);
+            for (proxy, event) in follow_ups {
+                self.queue_event(now, proxy, event, out);
             }
         }
         Ok(())
     }
 
-    /// What an exchange that is gone had in hand is broken: a shipped proxy closes its connections there.
-    fn gone(
+    /// Ends the calls at exchanges that the roster removed, as a shipped proxy does by closing its connections there.
+    fn fail_calls_of_removed(
         &mut self,
         now: Time,
         proxy: usize,
-        whole: bool,
-        offices: &[RosterEntry],
+        is_full: bool,
+        roster_entries: &[RosterEntry],
         out: &mut Vec<(usize, CallEffect)>,
     ) {
         let Some(instance) = self.instances.get(&proxy) else { return };
-        let is_gone = |id: ExchangeId| {
-            let listed = offices.iter().find(|o| o.id == id);
-            listed.map_or(whole, |o| o.state == ServiceState::Removed)
+        let is_removed = |id: ExchangeId| {
+            let entry = roster_entries.iter().find(|e| e.id == id);
+            entry.map_or(is_full, |e| e.state == ServiceState::Removed)
         };
-        let broken = |(id, call): (&CallId, &Kept)| {
-            let o = call.out.as_ref().filter(|o| is_gone(o.office))?;
-            Some((id.clone(), o.office, o.leg, o.stands))
+        let failed_calls = |(id, call): (&CallId, &HostedCall)| {
+            let attempt = call.pending.as_ref().filter(|attempt| is_removed(attempt.exchange_id))?;
+            Some((id.clone(), attempt.exchange_id, attempt.leg, attempt.established))
         };
-        let broken: Vec<_> = instance.calls.iter().filter_map(broken).collect();
-        for (id, office, leg, stands) in broken {
+        let failed_calls: Vec<_> = instance.calls.iter().filter_map(failed_calls).collect();
+        for (id, exchange_id, leg, established) in failed_calls {
             let report = LoadReport::default();
-            let input = if stands {
-                CallEvent::ExchangeReleased { id, exchange: office, completed: false, report }
+            let event = if established {
+                CallEvent::ExchangeReleased { id, exchange: exchange_id, completed: false, report }
             } else {
-                let (outcome, why) = (Outcome::Reset, Cause::Unspecified);
-                CallEvent::SetUpFailed { id, exchange: office, leg: Some(leg), outcome, cause: why, report }
+                let (outcome, failure_cause) = (Outcome::Reset, Cause::Unspecified);
+                CallEvent::SetUpFailed {
+                    id,
+                    exchange: exchange_id,
+                    leg: Some(leg),
+                    outcome,
+                    cause: failure_cause,
+                    report,
+                }
             };
-            self.event(now, proxy, input, out);
+            self.queue_event(now, proxy, event, out);
         }
     }
 
-    /// Carries out one action.
-    fn act(
+    /// Applies one action. Returns its effect, if any, and appends the events that it causes to `follow_ups`.
+    fn apply_action(
         &mut self,
         now: Time,
         action: &Value,
-        again: &mut Vec<(usize, CallEvent)>,
+        follow_ups: &mut Vec<(usize, CallEvent)>,
     ) -> Result<Option<(usize, CallEffect)>, LabError> {
-        let shape = || format!("says what is no action: {}", cut(&action.to_string()));
+        let invalid_action = || format!("says what is no action: {}", truncated(&action.to_string()));
         let one = action.as_object().filter(|o| o.len() == 1).and_then(|o| o.iter().next());
-        let Some((name, body)) = one else { return Err(self.fault(shape())) };
+        let Some((name, body)) = one else { return Err(self.fault(invalid_action())) };
         let proxy = body.get("server").and_then(Value::as_u64).map(|n| n as usize);
         let Some(proxy) = proxy.filter(|p| self.instances.contains_key(p)) else {
-            return Err(self.fault(shape()));
+            return Err(self.fault(invalid_action()));
         };
         let id = body.get("request_id").and_then(Value::as_str).map(call_id);
         let number = |key: &str| body.get(key).and_then(Value::as_f64).filter(|x| x.is_finite());
         let Some(instance) = self.instances.get_mut(&proxy) else { return Ok(None) };
         let command = match (name.as_str(), id) {
             ("attempt", Some(id)) => {
-                let office = body.get("office").and_then(Value::as_u64).map(ExchangeId);
-                let Some(office) = office else { return Err(self.fault(shape())) };
+                let exchange_id = body.get("office").and_then(Value::as_u64).map(ExchangeId);
+                let Some(exchange_id) = exchange_id else { return Err(self.fault(invalid_action())) };
                 let Some(call) = instance.calls.get_mut(&id) else { return Ok(None) };
                 let leg = call.attempts;
                 call.attempts += 1;
                 if leg >= instance.max_attempts {
-                    let (outcome, why, report) =
+                    let (outcome, failure_cause, report) =
                         (Outcome::NotSent, Cause::Unspecified, LoadReport::default());
-                    call.out = Some(Out { leg, office, sent: now, stands: false });
-                    again.push((
+                    call.pending = Some(PendingAttempt { leg, exchange_id, sent: now, established: false });
+                    follow_ups.push((
                         proxy,
                         CallEvent::SetUpFailed {
                             id,
-                            exchange: office,
+                            exchange: exchange_id,
                             leg: Some(leg),
                             outcome,
-                            cause: why,
+                            cause: failure_cause,
                             report,
                         },
                     ));
                     return Ok(None);
                 }
-                let until = number("abandon_at").filter(|at| *at > 0.0).map_or(call.until, Time);
-                let until = if until < call.until { until } else { call.until };
-                call.out = Some(Out { leg, office, sent: now, stands: false });
+                let attempt_deadline =
+                    number("abandon_at").filter(|at| *at > 0.0).map_or(call.deadline, Time);
+                let attempt_deadline =
+                    if attempt_deadline < call.deadline { attempt_deadline } else { call.deadline };
+                call.pending = Some(PendingAttempt { leg, exchange_id, sent: now, established: false });
                 let set_up = SetUp {
                     leg,
                     class: call.class.clone(),
                     number: call.number.clone(),
                     width: call.width,
-                    direct: instance.numbers.get(&office) == Some(&call.dest),
+                    direct: instance.numbers.get(&exchange_id) == Some(&call.dest),
                     description: call.description.clone(),
-                    abandon_at: until,
+                    abandon_at: attempt_deadline,
                 };
-                CallEffect::Exchange(office, id, ExchangeCommand::SetUp(set_up))
+                CallEffect::Exchange(exchange_id, id, ExchangeCommand::SetUp(set_up))
             }
             ("say_no", Some(id)) => {
                 instance.calls.remove(&id);
@@ -430,24 +497,29 @@
             ("undo_send", Some(id)) => {
                 let leg = body.get("leg").and_then(Value::as_u64).unwrap_or(0) as u32;
                 let Some(call) = instance.calls.get(&id) else { return Ok(None) };
-                let Some(o) = call.out.clone().filter(|o| o.leg == leg && !o.stands) else { return Ok(None) };
-                let (outcome, why, report) = (Outcome::Cancelled, Cause::Unspecified, LoadReport::default());
+                let Some(attempt) =
+                    call.pending.clone().filter(|attempt| attempt.leg == leg && !attempt.established)
+                else {
+                    return Ok(None);
+                };
+                let (outcome, failure_cause, report) =
+                    (Outcome::Cancelled, Cause::Unspecified, LoadReport::default());
                 let ended = CallEvent::SetUpFailed {
                     id: id.clone(),
-                    exchange: o.office,
+                    exchange: attempt.exchange_id,
                     leg: Some(leg),
                     outcome,
-                    cause: why,
+                    cause: failure_cause,
                     report,
                 };
-                again.push((proxy, ended));
-                CallEffect::Exchange(o.office, id, ExchangeCommand::CancelSetUp { leg })
+                follow_ups.push((proxy, ended));
+                CallEffect::Exchange(attempt.exchange_id, id, ExchangeCommand::CancelSetUp { leg })
             }
             ("wake_at", _) => {
                 let (Some(after), Some(token)) =
                     (number("sleep_for"), body.get("ref").and_then(Value::as_u64))
                 else {
-                    return Err(self.fault(shape()));
+                    return Err(self.fault(invalid_action()));
                 };
                 CallEffect::StartTimer(now + after.max(0.0), CallTimer::Controller(TimerToken(token)))
             }
@@ -460,9 +532,9 @@
                 let what = format!("says that its decision code has failed: {text}");
                 return Err(self.fault(what));
             }
-            // What this fleet does not offer has no effect.
+            // Actions that this fleet does not support have no effect.
             ("sample" | "memo_to" | "subscribe" | "pull" | "disconnect" | "fetch", _) => return Ok(None),
-            _ => return Err(self.fault(shape())),
+            _ => return Err(self.fault(invalid_action())),
         };
         Ok(Some((proxy, command)))
     }
@@ -471,11 +543,12 @@
 impl ProxyFleet for ExternalProgram {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.events.push(json!({"create": {"server": proxy, "seed": seed, "facts": day.facts(proxy)}}));
-        let fresh = Instance { fresh: true, max_attempts: day.attempts, ..Instance::default() };
-        self.instances.insert(proxy, fresh);
-        // It starts now, not when it is first told something.
+        let new_instance =
+            Instance { awaits_first_roster: true, max_attempts: day.max_attempts, ..Instance::default() };
+        self.instances.insert(proxy, new_instance);
+        // The proxy starts now, not with its first event.
         let mut out = Vec::new();
-        self.answer_events(now, &mut out)
+        self.send_events(now, &mut out)
     }
 
     fn stop(&mut self, proxy: usize) -> Result<(), LabError> {
@@ -487,24 +560,25 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events_by_proxy: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        // One input of each proxy at a time: what it does about the first is done before it hears the second, as
-        // in the call table.
-        let mut told: Vec<_> = told.into_iter().map(|(proxy, inputs)| (proxy, inputs.into_iter())).collect();
+        // One event of each proxy at a time: the effects of the first are applied before the second is sent, as in
+        // the call table.
+        let mut events_by_proxy: Vec<_> =
+            events_by_proxy.into_iter().map(|(proxy, inbox)| (proxy, inbox.into_iter())).collect();
         loop {
-            let mut some = false;
-            for (proxy, inputs) in &mut told {
-                if let Some(input) = inputs.next() {
-                    some = true;
-                    self.event(now, *proxy, input, out);
+            let mut any = false;
+            for (proxy, inbox) in &mut events_by_proxy {
+                if let Some(event) = inbox.next() {
+                    any = true;
+                    self.queue_event(now, *proxy, event, out);
                 }
             }
-            if !some && self.events.is_empty() {
+            if !any && self.events.is_empty() {
                 break;
             }
-            self.answer_events(now, out)?;
+            self.send_events(now, out)?;
         }
         Ok(())
     }
@@ -512,7 +586,7 @@
 
 impl Drop for ExternalProgram {
     fn drop(&mut self) {
-        // The end of its input tells it to go; one that stays is ended.
+        // The program should end when its input closes; if it does not, it is killed.
         self.input = None;
         for _ in 0..20 {
             if matches!(self.child.try_wait(), Ok(Some(_)) | Err(_)) {
@@ -522,33 +596,35 @@
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
-        // With its output closed the reader ends as soon as nobody listens.
-        let (_, none) = sync_channel(1);
-        self.lines = none;
+        // The program's output is closed now. Without a receiver the reader also ends if it waits on a full channel.
+        let (_, unused_receiver) = sync_channel(1);
+        self.lines = unused_receiver;
         if let Some(reader) = self.reader.take() {
             let _ = reader.join();
         }
     }
 }
 
-/// The beginning of a long line.
-fn cut(line: &str) -> String {
+/// The beginning of a line, for error messages.
+fn truncated(line: &str) -> String {
     line.trim_end().chars().take(120).collect()
 }
 
-/// Ids on the wire have 36 characters; ours are the last 16 hex digits.
+/// The protocol's request id of a call: 36 characters, of which the last 16 hexadecimal digits are the call id.
 fn wire_id(id: &CallId) -> String {
     let digits: String = format!("{:0>32}", id.0).chars().take(32).collect();
     let part = |from: usize, to: usize| digits.get(from..to).unwrap_or_default();
     [part(0, 8), part(8, 12), part(12, 16), part(16, 20), part(20, 32)].join("-")
 }
 
+/// The call id of a request id.
 fn call_id(id: &str) -> CallId {
     let digits: String = id.chars().filter(|c| *c != '-').collect();
     CallId(digits.get(16..).unwrap_or_default().to_owned())
 }
 
-fn arrival(request: &Request) -> Value {
+/// The body of an arrival message.
+fn arrival_body(request: &Request) -> Value {
     let mut body = json!({
         "request_id": wire_id(&request.id), "ttl": request.ttl, "customer": request.tenant,
         "hop": request.hop.map_or(-1, |n| n.0), "circuits": request.width, "far_end": request.dest.0,
@@ -564,19 +640,21 @@
     body
 }
 
-/// Seconds as the milliseconds that read as these very seconds: a last bit can tip a level.
-fn in_ms(wait: Secs) -> f64 {
+/// Seconds as milliseconds that convert back to exactly the same seconds: a difference in the last bit can change an
+/// overload level.
+fn exact_ms(wait: Secs) -> f64 {
     let ms = wait * 1000.0;
     [ms, ms.next_up(), ms.next_down()].into_iter().find(|ms| ms / 1000.0 == wait).unwrap_or(ms)
 }
 
-fn stats(report: &LoadReport) -> Value {
+/// The fields of a load report; -1 stands for a missing one.
+fn load_fields(report: &LoadReport) -> Value {
     let mut stats = Map::new();
     let fields = [
         ("idle", report.free_circuits),
         ("circuits", report.group_size),
         ("reduce", report.requested_reduction),
-        ("avg_ms", report.queueing_delay.map(in_ms)),
+        ("avg_ms", report.queueing_delay.map(exact_ms)),
     ];
     for (key, value) in fields {
         stats.insert(key.to_owned(), json!(value.unwrap_or(-1.0)));
@@ -584,15 +662,17 @@
     Value::Object(stats)
 }
 
-fn status(office: ExchangeId, report: &LoadReport) -> Value {
-    json!({"office": office.0, "verdict": 0, "cost_time": 0.0, "server_stats": stats(report)})
+/// The body of a status message.
+fn status_body(exchange_id: ExchangeId, report: &LoadReport) -> Value {
+    json!({"office": exchange_id.0, "verdict": 0, "cost_time": 0.0, "server_stats": load_fields(report)})
 }
 
-fn answer(
+/// The body of an answer message, with the protocol's codes for outcome and cause.
+fn answer_body(
     id: &CallId,
-    out: &Out,
-    office: ExchangeId,
-    (outcome, why): (Outcome, Cause),
+    attempt: &PendingAttempt,
+    exchange_id: ExchangeId,
+    (outcome, failure_cause): (Outcome, Cause),
     now: Time,
     closed: bool,
     report: &LoadReport,
@@ -607,7 +687,7 @@
         Outcome::Cancelled => 125,
         Outcome::NotSent => 114,
     };
-    let note = match why {
+    let cause_code = match failure_cause {
         Cause::Unspecified => 0,
         Cause::NoCircuit => 1,
         Cause::Crankback => 2,
@@ -615,16 +695,17 @@
         Cause::ProcessorFull => 3,
         Cause::LinesBusy => 4,
     };
-    json!({"request_id": wire_id(id), "leg": out.leg, "office": office.0, "verdict": verdict,
-        "cost_time": now - out.sent, "why": note, "closed": closed, "server_stats": stats(report)})
+    json!({"request_id": wire_id(id), "leg": attempt.leg, "office": exchange_id.0, "verdict": verdict,
+        "cost_time": now - attempt.sent, "why": cause_code, "closed": closed, "server_stats": load_fields(report)})
 }
 
-fn entry(office: &RosterEntry) -> Value {
-    let condition = match office.state {
+/// A roster entry as an element of a manifest.
+fn roster_element(entry: &RosterEntry) -> Value {
+    let service_state = match entry.state {
         ServiceState::InService => "on",
         ServiceState::Draining => "fading",
         ServiceState::Removed => "off",
     };
-    json!({"office": office.id.0, "az": office.zone, "machine": "single-core", "number": office.number.0,
-        "condition": condition, "weight": office.weight, "ready_at": office.ready_at.map_or(0.0, |t| t.0)})
+    json!({"office": entry.id.0, "az": entry.zone, "machine": "single-core", "number": entry.number.0,
+        "condition": service_state, "weight": entry.weight, "ready_at": entry.ready_at.map_or(0.0, |t| t.0)})
 }
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -1,39 +1,39 @@
-//! Random streams by name. A draw depends on the seed, its purpose and its index, never on what was drawn before
-//! for another purpose: two arms of a comparison meet the same callers, delays and noise.
+//! Independent random streams. A draw depends only on the seed, its purpose and its index, not on draws for other
+//! purposes, so the arms of a comparison get the same callers, delays and noise.
 
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64;
 
-/// What a stream is for.
+/// The purpose of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// The true figures of a day.
+    /// The parameters of a day.
     Day = 1,
-    /// Arrivals of one pair of exchanges.
+    /// Arrivals of a pair of exchanges.
     Arrivals,
-    /// One caller: class, holding time, habits.
+    /// One caller: class, holding time and behaviour.
     Caller,
-    /// Times in flight.
+    /// Transmission times.
     Flight,
-    /// Noise of load reports.
+    /// Noise of load measurements.
     Report,
-    /// When the roster tells a proxy.
+    /// Delays of roster updates.
     Roster,
-    /// Whom a trouble hits.
+    /// Exchanges and circuits that a trouble affects.
     Trouble,
-    /// Lengths of work at a processor.
+    /// Processing times.
     ProcessorWork,
     /// Seeds of the proxies.
     ProxySeed,
-    /// Resampling.
+    /// Bootstrap resampling.
     Bootstrap,
 }
 
-/// Draws that one index of a stream may take before it meets the next one's.
+/// Distance between the streams of consecutive indexes, in draws.
 const BLOCK: u128 = 1 << 40;
 
-/// The stream of a purpose: PCG XSL RR 128/64 (O'Neill 2014), at a block of its own for each index.
+/// The stream of a purpose and index: PCG XSL RR 128/64 (O'Neill 2014), advanced to the index's own block.
 pub fn stream(seed: u64, purpose: Purpose, index: u64) -> Pcg64 {
     let mut rng =
         Pcg64::seed_from_u64(seed.rotate_left(17) ^ (purpose as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
@@ -41,19 +41,19 @@
     rng
 }
 
-/// A number from 0 up to but not including 1.
+/// A uniform draw from [0, 1).
 pub fn unit(rng: &mut impl Rng) -> f64 {
-    // 53 bits are what a double holds.
+    // A double holds 53 significant bits.
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A number below `n`; 0 where `n` is 0.
+/// A uniform draw from the integers below `n`; 0 if `n` is 0.
 pub fn below(rng: &mut impl Rng, n: usize) -> usize {
     ((unit(rng) * n as f64) as usize).min(n.saturating_sub(1))
 }
 
-/// A number from 0 up to but not including 1 that two numbers and a seed always give (the finalizer of SplitMix64,
-/// Steele, Lea and Flood 2014): for figures that must not depend on the order in which things happen.
+/// A hash of two numbers and a seed to [0, 1), for values that must not depend on the order of events (finalizer of
+/// SplitMix64; Steele, Lea and Flood 2014).
 pub fn noise(seed: u64, a: u64, b: u64) -> f64 {
     let mut z = seed ^ a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xd1b5_4a32_d192_ed03);
     for _ in 0..2 {
@@ -64,9 +64,9 @@
     (z >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A lognormal draw with this mean and coefficient of variation.
+/// A lognormal draw with the given mean and coefficient of variation.
 pub fn lognormal(rng: &mut Pcg64, mean: f64, cv: f64) -> f64 {
     let var = (1.0 + cv * cv).ln();
-    // A variance that is finite and not negative always makes a distribution.
+    // The constructor fails only for a standard deviation that is negative or not finite.
     LogNormal::new(mean.max(1e-12).ln() - var / 2.0, var.sqrt()).map_or(mean, |d| d.sample(rng))
 }
--- a/crates/lab/src/traffic/recorded.rs
+++ b/crates/lab/src/traffic/recorded.rs
@@ -1,4 +1,4 @@
-//! Traffic from a file, in place of what is drawn: one line a first try, as CSV with a header.
+//! Traffic files, used in place of drawn traffic: CSV with a header and one record per caller.
 
 use std::path::Path;
 
@@ -10,21 +10,21 @@
 use crate::random::{stream, Purpose};
 use crate::LabError;
 
-/// One line.
+/// A record of a traffic file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Line {
-    /// Seconds from the start.
+struct Record {
+    /// Time of the first dialling, seconds from the start of the day.
     at_s: f64,
     /// Exchange of the caller, from 0.
     origin: usize,
     /// Exchange called, from 0.
     dest: usize,
-    /// Class by name.
+    /// Name of the class.
     class: String,
-    /// Subscriber by name.
+    /// Name of the tenant.
     tenant: String,
-    /// Holding time, seconds; drawn as the scenario says where it is empty.
+    /// Holding time, seconds; drawn from the scenario if empty.
     hold_s: Option<f64>,
     /// Number called.
     number: u32,
@@ -32,10 +32,10 @@
 
 /// Writes callers as a traffic file.
 pub fn write(path: &Path, day: &Day, callers: &[Caller]) -> Result<(), LabError> {
-    let fault = |e: csv::Error| LabError::File { path: path.to_owned(), source: e.into() };
-    let mut out = csv::Writer::from_path(path).map_err(fault)?;
+    let file_error = |e: csv::Error| LabError::File { path: path.to_owned(), source: e.into() };
+    let mut out = csv::Writer::from_path(path).map_err(file_error)?;
     for c in callers {
-        let line = Line {
+        let row = Record {
             at_s: c.at as f64 / SECOND as f64,
             origin: c.origin,
             dest: c.dest,
@@ -44,30 +44,31 @@
             hold_s: Some(c.hold as f64 / SECOND as f64),
             number: c.number,
         };
-        out.serialize(line).map_err(fault)?;
+        out.serialize(row).map_err(file_error)?;
     }
     out.flush().map_err(LabError::file(path))
 }
 
-/// Reads a traffic file for a day. Habits of the callers, which a proxy never sees, are drawn as the scenario says.
+/// Reads a traffic file for a day. The callers' behaviour, which no proxy sees, is drawn from the scenario.
 pub fn read(path: &Path, day: &Day) -> Result<Vec<Caller>, LabError> {
-    let file = |e: csv::Error| LabError::File { path: path.to_owned(), source: e.into() };
-    let mut reader = csv::Reader::from_path(path).map_err(file)?;
+    let file_error = |e: csv::Error| LabError::File { path: path.to_owned(), source: e.into() };
+    let mut reader = csv::Reader::from_path(path).map_err(file_error)?;
     let mut callers = Vec::new();
-    for (ix, line) in reader.deserialize::<Line>().enumerate() {
+    for (ix, line) in reader.deserialize::<Record>().enumerate() {
         let record = ix as u64 + 1;
-        let bad = |what: String| LabError::Traffic { path: path.to_owned(), record, what };
-        let line = line.map_err(|e| bad(e.to_string()))?;
+        let invalid = |what: String| LabError::Traffic { path: path.to_owned(), record, what };
+        let line = line.map_err(|e| invalid(e.to_string()))?;
         let class = day.classes.iter().position(|c| c.name == line.class);
-        let class = class.ok_or_else(|| bad(format!("class '{}' is not in the scenario", line.class)))?;
+        let class = class.ok_or_else(|| invalid(format!("class '{}' is not in the scenario", line.class)))?;
         let tenant = day.tenants.iter().position(|t| t.name == line.tenant);
-        let tenant = tenant.ok_or_else(|| bad(format!("tenant '{}' is not in the scenario", line.tenant)))?;
+        let tenant =
+            tenant.ok_or_else(|| invalid(format!("tenant '{}' is not in the scenario", line.tenant)))?;
         if line.origin >= day.n || line.dest >= day.n || line.origin == line.dest {
-            return Err(bad(format!("no call goes from exchange {} to {}", line.origin, line.dest)));
+            return Err(invalid(format!("no call goes from exchange {} to {}", line.origin, line.dest)));
         }
         if !(line.at_s.is_finite() && line.at_s >= 0.0) || line.hold_s.is_some_and(|h| !(h > 0.0 && h < 1e6))
         {
-            return Err(bad("want a time of 0 or above, and a holding time above 0".to_owned()));
+            return Err(invalid("want a time of 0 or above, and a holding time above 0".to_owned()));
         }
         let rng = &mut stream(day.seed, Purpose::Caller, ix as u64);
         let mut c = caller(day, rng, us(line.at_s), line.origin, line.dest);
--- a/crates/lab/src/world/account.rs
+++ b/crates/lab/src/world/account.rs
@@ -18,7 +18,7 @@
     /// Whether the call was cut.
     pub cut: bool,
     /// When the caller's latest attempt failed or the call was cut, µs.
-    pub ended: Us,
+    pub ended_at: Us,
     /// Number of times that the caller dialled.
     pub tries: u32,
 }
@@ -74,7 +74,7 @@
     let mut useful = 0.0;
     for (caller, call_result) in callers.iter().zip(call_results) {
         let class = &day.classes[caller.class];
-        let worth = class.worth * if caller.over_share { day.over_share } else { 1.0 };
+        let worth = class.worth * if caller.over_share { day.over_share_worth } else { 1.0 };
         let aim = caller.at + (class.aim_s * SECOND as f64) as Us;
         let value = match call_result.established_at {
             Some(at) if !call_result.cut => worth * if at <= aim { 1.0 } else { class.late_worth },
@@ -84,7 +84,7 @@
             established += 1;
             tandems += u64::from(call_result.tandem);
             useful += if call_result.tandem { day.processor.tandem() } else { day.processor.direct() };
-        } else if call_result.ended > aim {
+        } else if call_result.ended_at > aim {
             late += worth;
         }
         let second = ((caller.at / SECOND) as usize).min(seconds.len() - 1);
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -15,7 +15,7 @@
     pub(super) fn dial(&mut self, caller: u32, redial: bool, reestablishes: bool) {
         let c = &self.callers[caller as usize];
         let class = &self.day.classes[c.class];
-        let give_up_at = self.patience_from[caller as usize] + day::us(class.give_up_s);
+        let give_up_at = self.wanted_since[caller as usize] + day::us(class.give_up_s);
         let ttl =
             day::us(class.give_up_s * self.day.callers.try_share).min(give_up_at.saturating_sub(self.now));
         self.call_results[caller as usize].tries += 1;
@@ -27,7 +27,7 @@
         let hop = self.advice(c.origin, c.dest);
         let request = self.new_request(caller, c.origin, None);
         let deadline = self.now + ttl;
-        self.queue.schedule(deadline + self.day.slack, Event::AnswerOverdue(request));
+        self.queue.schedule(deadline + self.day.answer_slack, Event::AnswerOverdue(request));
         if let (Some(share), false) = (c.abandons_at, redial) {
             self.queue.schedule(self.now + (ttl as f64 * share) as Us, Event::CallerAbandons(request));
         }
@@ -78,7 +78,7 @@
             transit: self.requests[request as usize].incoming_leg.is_some(),
             hop: hop.map(|x| ExchangeNumber(x as i64)),
             re_established: reestablishes,
-            redial: redial && self.day.callers.marked,
+            redial: redial && self.day.callers.redials_marked,
             width: c.width,
             dest: ExchangeNumber(c.dest as i64),
             number: format!("{}-{}", c.dest, c.number),
@@ -90,20 +90,21 @@
     pub(super) fn dial_failed(&mut self, caller: u32, cool_down: Option<Secs>) {
         let c = &self.callers[caller as usize];
         let call_result = &mut self.call_results[caller as usize];
-        call_result.ended = self.now;
+        call_result.ended_at = self.now;
         if call_result.tries > c.redials {
             return;
         }
-        let habits = &self.day.callers;
-        let backoff_factor = match habits.backoff {
+        let behaviour = &self.day.callers;
+        let backoff_factor = match behaviour.backoff {
             crate::scenario::Backoff::Fixed => 1.0,
             crate::scenario::Backoff::Doubling => f64::from(1u32 << (call_result.tries - 1).min(16)),
         };
-        // A caller that heeds cool-downs redials after the requested time, even if its own wait is shorter or longer.
-        let requested_wait = cool_down.filter(|_| c.heeds_cool_down).map(|s| s.min(self.day.cool_down));
-        let wait = requested_wait.unwrap_or(habits.wait_s * c.wait_factor * backoff_factor);
+        // A caller that heeds cool-downs redials after the requested time, whether its own wait is shorter or longer.
+        let requested_wait =
+            cool_down.filter(|_| c.heeds_cool_down).map(|s| s.min(self.day.longest_cool_down_s));
+        let wait = requested_wait.unwrap_or(behaviour.wait_s * c.wait_factor * backoff_factor);
         let at = self.now + day::us(wait);
-        let give_up_at = self.patience_from[caller as usize] + day::us(self.day.classes[c.class].give_up_s);
+        let give_up_at = self.wanted_since[caller as usize] + day::us(self.day.classes[c.class].give_up_s);
         if at < give_up_at {
             self.queue.schedule(at, Event::Dial { caller, redial: true });
         }
@@ -111,27 +112,27 @@
 
     /// An impatient caller abandons its request before the deadline.
     pub(super) fn caller_abandons(&mut self, request: RequestIx) {
-        let request_state = &mut self.requests[request as usize];
-        if request_state.state != RequestState::Open {
+        let open_request = &mut self.requests[request as usize];
+        if open_request.state != RequestState::Open {
             return;
         }
-        request_state.state = RequestState::Left;
-        let (proxy, caller) = (request_state.proxy, request_state.caller);
+        open_request.state = RequestState::Left;
+        let (proxy, caller) = (open_request.proxy, open_request.caller);
         self.proxies[proxy].open_requests.remove(&request);
-        self.call_results[caller as usize].ended = self.now;
+        self.call_results[caller as usize].ended_at = self.now;
         self.ends.abandoned += 1;
         self.deliver(proxy, CallEvent::CallerGaveUp(call_id(request)));
     }
 
     /// The latest time for a request's final answer: a request without one breaks a rule.
     pub(super) fn answer_overdue(&mut self, request: RequestIx) {
-        let request_state = &mut self.requests[request as usize];
-        if request_state.state != RequestState::Open {
+        let open_request = &mut self.requests[request as usize];
+        if open_request.state != RequestState::Open {
             return;
         }
-        request_state.state = RequestState::Left;
+        open_request.state = RequestState::Left;
         let (proxy, caller, root) =
-            (request_state.proxy, request_state.caller, request_state.incoming_leg.is_none());
+            (open_request.proxy, open_request.caller, open_request.incoming_leg.is_none());
         self.proxies[proxy].open_requests.remove(&request);
         self.rule_monitor.report_violation(
             Rule::FinalAnswer,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The tandem that the centre advises: the exchange with the most free circuits on the narrower of the two groups.
+    /// The tandem that the centre advises: the exchange with the most free circuits on the smaller of its two groups.
     fn advice(&self, origin: usize, dest: usize) -> Option<usize> {
         let (_, free) = self.surveys.iter().rev().find(|(available_at, _)| *available_at <= self.now)?;
         let n = self.day.n;
--- a/crates/lab/src/world/exchange.rs
+++ b/crates/lab/src/world/exchange.rs
@@ -9,7 +9,8 @@
 use crate::day::{Us, SECOND};
 use crate::random::noise;
 
-/// A processor requests senders to hold back once its wait passes this share of the longest; all of it at the longest.
+/// Share of the longest wait above which a processor requests a reduction of load. The reduction grows linearly and is
+/// complete at the longest wait.
 const REDUCTION_ONSET: f64 = 0.1;
 
 impl Simulation<'_> {
@@ -44,7 +45,7 @@
     pub(super) fn publish_roster_update(&mut self, published_at: Us, entry: RosterEntry) {
         let update = self.roster_updates.len();
         for proxy in 0..self.day.n {
-            let delay = noise(self.day.seed, update as u64, proxy as u64) * self.day.spread as f64;
+            let delay = noise(self.day.seed, update as u64, proxy as u64) * self.day.roster_spread as f64;
             self.queue.schedule(published_at + delay as Us, Event::RosterUpdate { proxy, update });
         }
         self.roster_updates.push((published_at, entry));
@@ -131,7 +132,7 @@
         old.stop();
         self.retired.push(old);
         let entry = self.roster_entry(exchange, exchange_id, ServiceState::InService, Some(self.now));
-        self.publish_roster_update(self.now + self.day.planned, entry);
+        self.publish_roster_update(self.now + self.day.planned_delay, entry);
     }
 
     /// Sends the status of all groups of an exchange to both of their ends.
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -9,7 +9,7 @@
 /// The events that the proxies receive in one tick, by proxy.
 pub type EventsByProxy = Vec<(usize, Vec<CallEvent>)>;
 
-/// OverloadLevels of overload, 0 to 4, as one proxy sees them.
+/// Overload levels, 0 to 4, that one proxy's controller holds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverloadLevels {
     /// Level of its own exchange's processor.
--- a/crates/lab/src/world/flow.rs
+++ b/crates/lab/src/world/flow.rs
@@ -11,7 +11,7 @@
     call_id, request_of, simulated_time, Event, Leg, LegIx, LegState, RequestIx, RequestState, Simulation,
 };
 
-/// The description that an exchange makes for a leg.
+/// The description in the answer of an exchange, unique to the leg.
 fn description(leg: LegIx) -> Arc<[u8]> {
     Arc::from(leg.to_le_bytes())
 }
@@ -26,6 +26,7 @@
         (request.proxy == proxy && request.generation == self.proxies[proxy].generation).then_some(ix)
     }
 
+    /// Applies a proxy's command about one of its requests, towards the caller or the exchange that sent it.
     pub(super) fn apply_caller_command(&mut self, proxy: usize, id: &CallId, command: CallerCommand) {
         let Some(ix) = self.own_request(proxy, id) else {
             let what = "an answer to a request that it never received";
@@ -40,7 +41,8 @@
         let state = self.requests[ix as usize].state;
         match command {
             CallerCommand::Release { .. } => {
-                // A call that an exchange or a caller ended is no longer established; otherwise the proxy has cut it.
+                // A call that an exchange or a caller has ended is no longer established. If it still is, the proxy
+                // cuts it.
                 if state == RequestState::Standing {
                     if let Some(leg) = self.requests[ix as usize].latest_leg {
                         self.release_leg(leg);
@@ -147,6 +149,7 @@
 
     // ---- Commands on the exchange side -----------------------------------------------------------
 
+    /// Applies a proxy's command towards an exchange: starts, cancels or releases an attempt.
     pub(super) fn apply_exchange_command(
         &mut self,
         proxy: usize,
@@ -175,10 +178,11 @@
         let request = &self.requests[ix as usize];
         let dest = self.callers[request.caller as usize].dest;
         let to = self.exchange_by_id.get(&exchange_id).copied();
-        let unavailable = self.rule_monitor.is_unavailable(proxy, exchange_id, now, day.drain + day.slack);
+        let unavailable =
+            self.rule_monitor.is_unavailable(proxy, exchange_id, now, day.drain_grace + day.answer_slack);
         let rule = if request.pending_leg.is_some() {
             Some((Rule::OneAttempt, "an attempt while another one is pending"))
-        } else if request.attempts >= day.attempts {
+        } else if request.attempts >= day.max_attempts {
             Some((Rule::OneAttempt, "one attempt too many"))
         } else if now + day.tick / 2 < request.blocked_until {
             Some((Rule::Release, "a set-up too soon after a time-out, reset or cancellation"))
@@ -229,7 +233,7 @@
         self.legs[leg as usize].holds_circuits = true;
         self.legs_with_circuits.insert(leg);
         self.group_changed(group);
-        if self.fails_cold(proxy) {
+        if self.fails_while_cold(proxy) {
             return;
         }
         if self.processors[proxy].is_full(now) {
@@ -250,7 +254,7 @@
         let (request, from, to, transit_request) = (l.request, l.from, l.to, l.transit_request);
         let arrives = self.arrival(from, to);
         // The circuits may stay seized until the release time has passed.
-        self.queue.schedule(arrives.min(self.now + self.day.release), Event::ReleaseCircuits(leg));
+        self.queue.schedule(arrives.min(self.now + self.day.release_pause), Event::ReleaseCircuits(leg));
         if let Some(transit_request) = transit_request {
             self.queue.schedule(arrives, Event::CancelArrives(transit_request));
         } else if answered {
@@ -258,7 +262,7 @@
         }
         let owner = &mut self.requests[request as usize];
         owner.pending_leg = None;
-        owner.blocked_until = self.now + self.day.release;
+        owner.blocked_until = self.now + self.day.release_pause;
         if answered && owner.state == RequestState::Standing {
             owner.state = RequestState::Over;
             if owner.incoming_leg.is_none() {
@@ -270,8 +274,9 @@
 
     // ---- Set-ups, answers and releases between exchanges -----------------------------------------
 
-    /// Counts a set-up at a processor. If it overloads a cold processor, that processor stops for the rest of the day.
-    fn fails_cold(&mut self, exchange: usize) -> bool {
+    /// Counts a set-up at a processor and returns whether it overloads a cold one. That processor then stops for the
+    /// rest of the day.
+    fn fails_while_cold(&mut self, exchange: usize) -> bool {
         let fails = self.processors[exchange].record_set_up(self.now);
         if fails {
             let what = format!("the cold processor of exchange {exchange} was pushed over");
@@ -290,7 +295,7 @@
         if processor.state == RunState::Down || processor.exchange_id != exchange_id {
             return self.refuse_set_up(leg, Outcome::ConnectFailed, Cause::Unspecified);
         }
-        if self.fails_cold(to) {
+        if self.fails_while_cold(to) {
             return;
         }
         if self.processors[to].is_full(self.now) {
@@ -313,7 +318,7 @@
         if pending && deadline > self.now {
             let transit_request = self.new_request(caller, to, Some(leg));
             self.legs[leg as usize].transit_request = Some(transit_request);
-            self.queue.schedule(deadline + self.day.slack, Event::AnswerOverdue(transit_request));
+            self.queue.schedule(deadline + self.day.answer_slack, Event::AnswerOverdue(transit_request));
             let call_request =
                 self.new_call_request(transit_request, deadline - self.now, Some(from), false, false);
             self.deliver(to, CallEvent::Request(call_request));
@@ -338,7 +343,7 @@
             (l.request, l.from, l.to, l.exchange_id, l.number, l.transit_request);
         self.free_circuits(leg);
         if let Some(transit_request) = transit_request {
-            // A set-up that report_violation on its way may have reached its tandem all the same.
+            // A set-up that was reset may have reached its tandem all the same.
             let at = self.arrival(from, to);
             self.queue.schedule(at, Event::CancelArrives(transit_request));
         }
@@ -515,7 +520,7 @@
     pub(super) fn call_cut(&mut self, caller: u32) {
         let call_result = &mut self.call_results[caller as usize];
         self.total_holding_us += (self.now - call_result.established_at.unwrap_or(self.now)) as f64;
-        (call_result.cut, call_result.ended) = (true, self.now);
+        (call_result.cut, call_result.ended_at) = (true, self.now);
         self.ends.cut += 1;
         self.change_established(-1);
         if self.callers[caller as usize].reestablishes {
@@ -523,7 +528,7 @@
         }
     }
 
-    /// A leg breaks because its circuits are lost or one of its exchanges stops; an established call over it is cut.
+    /// A leg breaks because its circuits are lost or one of its exchanges stops. An established call over it is cut.
     pub(super) fn break_leg(&mut self, leg: LegIx) {
         let mut root = self.legs[leg as usize].request;
         while let Some(incoming) = self.requests[root as usize].incoming_leg {
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -180,6 +180,7 @@
     requested_reduction: f64,
 }
 
+/// A day's state while it is simulated.
 struct Simulation<'a> {
     day: &'a Day,
     callers: &'a [Caller],
@@ -191,11 +192,14 @@
     periodic: usize,
     proxies: Vec<ProxyState>,
     processors: Vec<Processor>,
+    /// Processors that were replaced, kept for their statistics.
     retired: Vec<Processor>,
     groups: Vec<Group>,
     /// Group between two exchanges, by `a * n + b` with `n` exchanges.
     group_of: Vec<usize>,
+    /// Groups whose status is sent to both ends at the next tick.
     changed_groups: BTreeSet<usize>,
+    /// Load measurements by exchange, the oldest first.
     measurements: Vec<VecDeque<LoadMeasurement>>,
     report_rngs: Vec<Pcg64>,
     work_rngs: Vec<Pcg64>,
@@ -213,9 +217,10 @@
     roster_updates: Vec<(Us, RosterEntry)>,
     next_tick: Option<Us>,
     last_tick: Option<Us>,
+    /// By caller.
     call_results: Vec<CallResult>,
-    /// Start of each caller's give-up time.
-    patience_from: Vec<Us>,
+    /// When each caller first dialled, or re-established its call after a cut; its give-up time counts from then.
+    wanted_since: Vec<Us>,
     rule_monitor: RuleMonitor,
     set_up_delays: SetUpDelays,
     ends: Ends,
@@ -225,6 +230,7 @@
     established_us: f64,
     /// Sum of the times for which calls were established, µs.
     total_holding_us: f64,
+    /// Time of the last change of `established_calls`, or of the last sum.
     last_change: Us,
     events_handled: u64,
 }
@@ -288,7 +294,7 @@
             next_tick: None,
             last_tick: None,
             call_results: vec![CallResult::default(); callers.len()],
-            patience_from: callers.iter().map(|c| c.at).collect(),
+            wanted_since: callers.iter().map(|c| c.at).collect(),
             rule_monitor: RuleMonitor::default(),
             set_up_delays: SetUpDelays::new(day.classes.len()),
             ends: Ends::default(),
@@ -301,6 +307,7 @@
         }
     }
 
+    /// Schedules the callers, periodic events and troubles, and starts the processors and proxies.
     fn start_day(&mut self) -> Result<(), LabError> {
         for exchange in 0..self.day.n {
             let exchange_id = self.new_exchange_id(exchange);
@@ -332,7 +339,7 @@
         match event {
             Event::Dial { caller, redial } => self.dial(caller, redial, false),
             Event::Reestablish(caller) => {
-                self.patience_from[caller as usize] = self.now;
+                self.wanted_since[caller as usize] = self.now;
                 self.dial(caller, false, true);
             }
             Event::CallerAbandons(request) => self.caller_abandons(request),
@@ -369,11 +376,12 @@
 
     // ---- Proxies ---------------------------------------------------------------------------------
 
+    /// Starts a proxy with the published roster and the status of its groups.
     fn start_proxy(&mut self, proxy: usize) -> Result<(), LabError> {
         let generation = self.proxies[proxy].generation;
         let index = (self.salt << 32) ^ (u64::from(generation) << 20) ^ proxy as u64;
         let seed = rand::Rng::next_u64(&mut stream(self.day.seed, Purpose::ProxySeed, index));
-        // Seeds on the wire are whole numbers that a double can hold.
+        // The simulator's protocol carries seeds as JSON numbers: 53 bits survive as a double.
         self.fleet.start(self.day, proxy, clock(self.now), seed >> 11)?;
         self.proxies[proxy].running = true;
         let mut latest: BTreeMap<ExchangeId, RosterEntry> = BTreeMap::new();
@@ -383,8 +391,8 @@
             }
         }
         let roster_entries: Vec<RosterEntry> =
-            latest.into_values().filter(|o| o.state != ServiceState::Removed).collect();
-        for entry in roster_entries.iter().filter(|o| o.state != ServiceState::InService) {
+            latest.into_values().filter(|e| e.state != ServiceState::Removed).collect();
+        for entry in roster_entries.iter().filter(|e| e.state != ServiceState::InService) {
             self.rule_monitor.note_unavailable(proxy, entry.id, self.now);
         }
         self.deliver(proxy, CallEvent::Roster { full: true, entries: roster_entries });
@@ -403,6 +411,7 @@
         }
     }
 
+    /// Schedules the proxies' next tick, unless one is scheduled.
     fn schedule_tick(&mut self) {
         if self.next_tick.is_none() {
             let tick = self.day.tick;
@@ -415,6 +424,7 @@
         }
     }
 
+    /// The proxies handle their inboxes, and their effects are applied.
     fn tick(&mut self) -> Result<(), LabError> {
         self.next_tick = None;
         self.last_tick = Some(self.now);
@@ -463,7 +473,7 @@
         Ok(())
     }
 
-    /// Closes a proxy's connections to an exchange that its roster has removed; this ends the set-ups pending there.
+    /// Closes a proxy's connections to an exchange that its roster removed, which ends the set-ups pending there.
     fn close_connections(&mut self, proxy: usize, exchange_id: ExchangeId) {
         let is_pending = |leg: &&LegIx| {
             let leg = &self.legs[**leg as usize];
@@ -480,7 +490,7 @@
         request.pending_leg = None;
         request.failure_cause = failure_cause;
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            request.blocked_until = self.now + self.day.release;
+            request.blocked_until = self.now + self.day.release_pause;
         }
     }
 
@@ -501,7 +511,7 @@
     fn arrival(&mut self, from: usize, to: usize) -> Us {
         let direction = from * self.day.n + to;
         let spread = 2.0 * noise(self.day.seed, direction as u64, self.now) - 1.0;
-        let transmission_us = self.day.flight[direction] * (1.0 + self.day.jitter * spread);
+        let transmission_us = self.day.transmission_us[direction] * (1.0 + self.day.jitter * spread);
         let at = (self.now + transmission_us.max(0.0) as Us).max(self.last_arrivals[direction]);
         self.last_arrivals[direction] = at;
         at
@@ -514,8 +524,8 @@
     for (proxy, inbox) in events {
         for event in inbox {
             if let CallEvent::Roster { entries: roster_entries, .. } = event {
-                let removals = roster_entries.iter().filter(|o| o.state == ServiceState::Removed);
-                removed.extend(removals.map(|o| (*proxy, o.id)));
+                let removals = roster_entries.iter().filter(|e| e.state == ServiceState::Removed);
+                removed.extend(removals.map(|e| (*proxy, e.id)));
             }
         }
     }
--- a/crates/lab/src/world/processor.rs
+++ b/crates/lab/src/world/processor.rs
@@ -160,8 +160,8 @@
         self.wait(now) > self.parameters.longest_wait_us
     }
 
-    /// Records a set-up sent to it. Returns whether a cold processor now fails: within the window it was sent more than
-    /// a multiple of the set-ups that its present capacity allows.
+    /// Records a set-up sent to it. Returns whether a cold processor now fails: within the window it was sent more
+    /// than a multiple of the set-ups that its present capacity allows.
     pub fn record_set_up(&mut self, now: Us) -> bool {
         if !self.is_cold(now) || self.parameters.set_up_us <= 0.0 {
             return false;
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -43,7 +43,7 @@
     pub own_processor_full: u64,
     /// Attempts to an exchange that could not be reached.
     pub no_connection: u64,
-    /// Attempts that report_violation on their way.
+    /// Attempts that were reset.
     pub reset: u64,
     /// Number of the proxies' log lines, by their text after the first colon.
     pub logs: BTreeMap<String, u64>,
@@ -53,6 +53,7 @@
 const MAX_KEPT: usize = 50;
 
 impl Ends {
+    /// Counts a failed attempt.
     pub(super) fn count(&mut self, outcome: Outcome, failure_cause: Cause) {
         match (outcome, failure_cause) {
             (Outcome::NotSent, Cause::NoCircuit) => self.no_circuit += 1,
@@ -63,6 +64,7 @@
         }
     }
 
+    /// Counts a log line of a proxy.
     pub(super) fn log(&mut self, text: String) {
         let kind = text.split_once(": ").map_or(text.as_str(), |(_, rest)| rest).to_owned();
         if self.logs.len() < MAX_KEPT || self.logs.contains_key(&kind) {
@@ -109,7 +111,7 @@
     pub busy: f64,
     /// Samples by second.
     pub samples: Vec<Sample>,
-    /// Violation rules.
+    /// Number of rule violations.
     pub broken_rules: u64,
     /// The first violations of each rule.
     pub broken: Vec<Violation>,
--- a/crates/lab/src/world/trouble.rs
+++ b/crates/lab/src/world/trouble.rs
@@ -1,4 +1,4 @@
-//! Troubles as they handle. Surges and lopsided load are in the traffic already.
+//! Carries out the troubles of a day. Surges and lopsided load are already part of the generated traffic.
 
 use mallowring::interface::{Cause, Outcome, ServiceState};
 
@@ -76,16 +76,16 @@
             Step::Drain(x) if self.processors[x].state == RunState::Running => {
                 let (exchange_id, started) = (self.processors[x].exchange_id, self.processors[x].started);
                 let entry = self.roster_entry(x, exchange_id, ServiceState::Draining, started);
-                self.publish_roster_update(self.now + self.day.planned, entry);
+                self.publish_roster_update(self.now + self.day.planned_delay, entry);
             }
             Step::Stop(x) if self.processors[x].state == RunState::Running => {
-                self.take_out_of_service(x, self.day.planned);
+                self.take_out_of_service(x, self.day.planned_delay);
             }
             Step::Crash(x) if self.processors[x].state == RunState::Running => {
-                self.take_out_of_service(x, self.day.notice);
+                self.take_out_of_service(x, self.day.crash_delay);
             }
             // A processor that failed cold stays down, and one that runs needs no replacement.
-            Step::Start(x) if self.processors[x].state == RunState::Down && !self.failed_cold(x) => {
+            Step::Start(x) if self.processors[x].state == RunState::Down && !self.failed_while_cold(x) => {
                 self.start_processor(x);
                 self.report_groups(x);
             }
@@ -134,7 +134,7 @@
     }
 
     /// Whether a stopped processor failed cold, so that it was never taken out of service.
-    fn failed_cold(&self, x: usize) -> bool {
+    fn failed_while_cold(&self, x: usize) -> bool {
         !self.removed.contains(&self.processors[x].exchange_id)
     }
 
