--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 
 use crate::random::{below, lognormal, stream, Purpose};
-use crate::scenario::{Backoff, Scenario, Shape, Trouble, Who, WorkTime};
+use crate::scenario::{Backoff, ExchangeSelection, Scenario, Shape, Trouble, WorkTime};
 
 /// Simulated time, µs from the start of the day.
 pub type Us = u64;
@@ -210,7 +210,7 @@
     pub drain_grace: Us,
     /// Time after a request's deadline for which a final answer is allowed, µs.
     pub answer_slack: Us,
-    /// Longest cool-down that callers accept, s; 0 if they accept none.
+    /// Longest cool-down that callers can be asked for, s; 0 for none.
     pub longest_cool_down_s: f64,
     /// Factor on the worth of calls beyond a tenant's share.
     pub over_share_worth: f64,
@@ -248,10 +248,10 @@
             try_share: callers.try_share.draw(rng),
             wait_s: callers.wait_ms.draw(rng) / 1000.0,
             backoff: callers.backoff,
-            heed_share: callers.heed.draw(rng),
-            impatient_share: callers.impatient.draw(rng),
-            reestablish_share: callers.come_again.draw(rng),
-            redials_marked: callers.marked,
+            heed_share: callers.heed_share.draw(rng),
+            impatient_share: callers.impatient_share.draw(rng),
+            reestablish_share: callers.reestablish_share.draw(rng),
+            redials_marked: callers.redials_marked,
         };
         // Mean circuit-seconds per call.
         let circuit_s: f64 = classes.iter().map(|c| c.share * f64::from(c.width) * c.hold_s).sum();
@@ -259,7 +259,7 @@
         let calls = erlangs / circuit_s;
         let plan = draw_plan(scenario, &region, calls, rng);
         let groups = draw_groups(scenario, n, &plan, circuit_s, rng);
-        let plan_error_cv = scenario.groups.missed_cv.draw(rng);
+        let plan_error_cv = scenario.groups.plan_error_cv.draw(rng);
         let mut rates: Vec<f64> = plan.iter().map(|r| r * lognormal(rng, 1.0, plan_error_cv)).collect();
         scale(&mut rates, calls * n as f64);
         let end = us(scenario.seconds.draw(rng));
@@ -269,17 +269,17 @@
         let rules = &scenario.rules;
         let mut processor = ProcessorParameters {
             set_up_us: 0.0,
-            inspect: ranges.look.draw(rng),
+            inspect: ranges.inspect.draw(rng),
             refuse: ranges.refuse.draw(rng),
-            answer_or_release: ranges.follow.draw(rng),
+            answer_or_release: ranges.answer_or_release.draw(rng),
             longest_wait_us: ranges.longest_wait_ms.draw(rng) * 1000.0,
             finish_first: ranges.finish_first,
             cancel_drops: ranges.cancel_drops,
             work: ranges.work,
             cold_from: ranges.cold_from.draw(rng),
             cold_us: ranges.cold_s.draw(rng) * SECOND as f64,
-            fall_us: us(rules.fall_ms.draw(rng) / 1000.0),
-            fall_multiple: rules.fall_multiple.draw(rng),
+            fall_us: us(rules.cold_failure_window_ms.draw(rng) / 1000.0),
+            fall_multiple: rules.cold_failure_multiple.draw(rng),
         };
         // At planned load each exchange sends and receives `calls` calls per second, all routed direct.
         processor.set_up_us = ranges.busy.draw(rng) / (calls * processor.direct()) * SECOND as f64;
@@ -314,23 +314,25 @@
             report_period: ms(scenario.reports.period_ms.draw(rng)).max(1),
             report_delay: ms(scenario.reports.delay_ms.draw(rng)),
             report_noise: scenario.reports.noise.draw(rng),
-            planned_delay: us(scenario.roster.planned_s.draw(rng)),
-            crash_delay: us(scenario.roster.notice_s.draw(rng)),
+            planned_delay: us(scenario.roster.planned_delay_s.draw(rng)),
+            crash_delay: us(scenario.roster.crash_delay_s.draw(rng)),
             roster_spread: ms(scenario.roster.spread_ms.draw(rng)),
             centre: None,
             classes,
             tenants,
             callers,
-            max_attempts: rules.attempts,
-            release_pause: ms(rules.release_ms.draw(rng)),
-            drain_grace: ms(rules.drain_ms.draw(rng)),
-            answer_slack: ms(rules.slack_ms.draw(rng)),
+            max_attempts: rules.max_attempts,
+            release_pause: ms(rules.release_pause_ms.draw(rng)),
+            drain_grace: ms(rules.drain_grace_ms.draw(rng)),
+            answer_slack: ms(rules.answer_slack_ms.draw(rng)),
             longest_cool_down_s: rules.longest_cool_down_s.draw(rng),
             over_share_worth: rules.over_share_worth.draw(rng),
             troubles: Vec::new(),
         };
-        day.centre =
-            scenario.centre.as_ref().map(|c| (us(c.every_s.draw(rng)).max(1), us(c.late_s.draw(rng))));
+        day.centre = scenario
+            .centre
+            .as_ref()
+            .map(|c| (us(c.interval_s.draw(rng)).max(1), us(c.advice_delay_s.draw(rng))));
         for (ix, trouble) in scenario.troubles.iter().enumerate() {
             let rng = &mut stream(seed, Purpose::Trouble, ix as u64);
             day.draw_trouble(trouble, rng);
@@ -341,10 +343,10 @@
     /// Draws a trouble's values and exchanges.
     fn draw_trouble(&mut self, trouble: &Trouble, rng: &mut Pcg64) {
         let n = self.n;
-        let pick = |who: Option<&Who>, rng: &mut Pcg64| match who {
+        let select = |selection: Option<&ExchangeSelection>, rng: &mut Pcg64| match selection {
             None => (0..n).collect(),
-            Some(Who::These(list)) => list.clone(),
-            Some(Who::Some(count)) => {
+            Some(ExchangeSelection::Listed(list)) => list.clone(),
+            Some(ExchangeSelection::Count(count)) => {
                 let mut all: Vec<usize> = (0..n).collect();
                 (0..(*count as usize).min(n))
                     .map(|_| all.swap_remove(below(rng, all.len())))
@@ -360,11 +362,11 @@
             }
             Trouble::Lopsided { seconds, exchanges, share, .. } => {
                 let span = span(seconds.draw(rng));
-                let list = pick(Some(exchanges), rng);
+                let list = select(Some(exchanges), rng);
                 self.troubles.push(TroubleDay::Lopsided(span, list, share.draw(rng)));
             }
             Trouble::Replace { seconds, exchanges, batch, drain_s, gap_s, .. } => {
-                let list = pick(Some(exchanges), rng);
+                let list = select(Some(exchanges), rng);
                 let batches = list.len().div_ceil(*batch as usize).max(1);
                 let step = us(seconds.draw(rng)) / batches as Us;
                 for (ix, exchange) in list.into_iter().enumerate() {
@@ -382,24 +384,24 @@
             }
             Trouble::Slow { seconds, exchanges, size, .. } => {
                 let span = span(seconds.draw(rng));
-                let list = pick(exchanges.as_ref(), rng);
+                let list = select(exchanges.as_ref(), rng);
                 self.troubles.push(TroubleDay::Slow(span, list, size.draw(rng)));
             }
             Trouble::Crash { exchanges, back_s, .. } => {
-                for exchange in pick(Some(exchanges), rng) {
+                for exchange in select(Some(exchanges), rng) {
                     let back = back_s.as_ref().map(|s| at + us(s.draw(rng)));
                     self.troubles.push(TroubleDay::Crash(at, exchange, back));
                 }
             }
             Trouble::ProxyRestart { exchanges, seconds, .. } => {
-                for exchange in pick(Some(exchanges), rng) {
+                for exchange in select(Some(exchanges), rng) {
                     let span = span(seconds.draw(rng));
                     self.troubles.push(TroubleDay::ProxyRestart(span, exchange));
                 }
             }
             Trouble::RosterStopped { seconds, exchanges, .. } => {
                 let span = span(seconds.draw(rng));
-                let list = pick(exchanges.as_ref(), rng);
+                let list = select(exchanges.as_ref(), rng);
                 self.troubles.push(TroubleDay::RosterStopped(span, list));
             }
         }
@@ -499,7 +501,7 @@
 /// `calls`.
 fn draw_plan(scenario: &Scenario, region: &[usize], calls: f64, rng: &mut Pcg64) -> Vec<f64> {
     let n = region.len();
-    let (cv, local) = (scenario.groups.pair_cv.draw(rng), scenario.groups.local.draw(rng));
+    let (cv, local) = (scenario.groups.pair_cv.draw(rng), scenario.groups.regional_factor.draw(rng));
     let mut plan = vec![0.0; n * n];
     for a in 0..n {
         for b in a + 1..n {
--- a/crates/lab/src/scenario/draw.rs
+++ b/crates/lab/src/scenario/draw.rs
@@ -1,5 +1,5 @@
-//! Figures of a scenario: one number, or a range from which each day draws its own. Their bounds are part of the
-//! type, so that reading and the schema say the same.
+//! Values of a scenario: one number, or a range from which each day draws its own. The bounds are part of the type,
+//! so that the reader and the schema agree.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -11,29 +11,29 @@
 
 use crate::random::unit;
 
-/// The bounds of a figure.
+/// The bounds of a value.
 pub trait Bound {
-    /// Its name, for messages and the schema.
+    /// Description of the bounds, for messages and the schema.
     const NAME: &'static str;
-    /// Whether a number is within.
-    fn holds(x: f64) -> bool;
-    /// The same as JSON schema.
+    /// Whether a number is within the bounds.
+    fn contains(x: f64) -> bool;
+    /// The bounds as a JSON schema.
     fn schema() -> Schema;
 }
 
-/// Above 0.
+/// Numbers above 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Positive;
-/// 0 or above.
+/// Numbers of 0 or above.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Amount;
-/// From 0 to 1.
+/// Numbers from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share;
 
 impl Bound for Positive {
     const NAME: &'static str = "a number above 0";
-    fn holds(x: f64) -> bool {
+    fn contains(x: f64) -> bool {
         x > 0.0
     }
     fn schema() -> Schema {
@@ -43,7 +43,7 @@
 
 impl Bound for Amount {
     const NAME: &'static str = "a number of 0 or above";
-    fn holds(x: f64) -> bool {
+    fn contains(x: f64) -> bool {
         x >= 0.0
     }
     fn schema() -> Schema {
@@ -53,7 +53,7 @@
 
 impl Bound for Share {
     const NAME: &'static str = "a number from 0 to 1";
-    fn holds(x: f64) -> bool {
+    fn contains(x: f64) -> bool {
         (0.0..=1.0).contains(&x)
     }
     fn schema() -> Schema {
@@ -61,7 +61,7 @@
     }
 }
 
-/// One number, or a range `[low, high]` that a day draws from evenly.
+/// One number, or a range `[low, high]` from which a day draws uniformly.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Draw<B> {
     low: f64,
@@ -70,7 +70,7 @@
 }
 
 impl<B> Draw<B> {
-    /// Always this number.
+    /// A fixed number.
     pub const fn of(x: f64) -> Self {
         Draw { low: x, high: x, bound: PhantomData }
     }
@@ -80,23 +80,23 @@
         Draw { low, high, bound: PhantomData }
     }
 
-    /// One draw.
+    /// Draws a number.
     pub fn draw(&self, rng: &mut impl rand::Rng) -> f64 {
         self.low + (self.high - self.low) * unit(rng)
     }
 
-    /// The middle of the range.
-    pub fn middle(&self) -> f64 {
+    /// The midpoint of the range.
+    pub fn midpoint(&self) -> f64 {
         (self.low + self.high) / 2.0
     }
 
     /// The lower end of the range.
-    pub fn least(&self) -> f64 {
+    pub fn lowest(&self) -> f64 {
         self.low
     }
 
     /// The upper end of the range.
-    pub fn most(&self) -> f64 {
+    pub fn highest(&self) -> f64 {
         self.high
     }
 }
@@ -121,17 +121,18 @@
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Form {
+        enum NumberOrRange {
             One(f64),
             Range([f64; 2]),
         }
-        let wanted = || format!("want {}, or a range [low, high] of such", B::NAME);
-        let (low, high) = match Form::deserialize(d).map_err(|_| D::Error::custom(wanted()))? {
-            Form::One(x) => (x, x),
-            Form::Range([low, high]) => (low, high),
+        let expected = || format!("want {}, or a range [low, high] of such", B::NAME);
+        let (low, high) = match NumberOrRange::deserialize(d).map_err(|_| D::Error::custom(expected()))? {
+            NumberOrRange::One(x) => (x, x),
+            NumberOrRange::Range([low, high]) => (low, high),
         };
-        let fine = low.is_finite() && high.is_finite() && low <= high && B::holds(low) && B::holds(high);
-        fine.then_some(Draw { low, high, bound: PhantomData }).ok_or_else(|| D::Error::custom(wanted()))
+        let valid =
+            low.is_finite() && high.is_finite() && low <= high && B::contains(low) && B::contains(high);
+        valid.then_some(Draw { low, high, bound: PhantomData }).ok_or_else(|| D::Error::custom(expected()))
     }
 }
 
@@ -145,7 +146,7 @@
     }
 
     fn json_schema(_: &mut SchemaGenerator) -> Schema {
-        let one = B::schema();
-        json_schema!({"anyOf": [one, {"type": "array", "items": one, "minItems": 2, "maxItems": 2}]})
+        let number = B::schema();
+        json_schema!({"anyOf": [number, {"type": "array", "items": number, "minItems": 2, "maxItems": 2}]})
     }
 }
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -1,7 +1,7 @@
 //! Scenario files: a fleet, its traffic and its troubles, in TOML.
 //!
-//! A figure may be a range `[low, high]`; each day (seed) draws its own from it. What is not named has the
-//! operators' figures as its default.
+//! A value may be a range `[low, high]`, from which each day (seed) draws its own. Values that are left out default to
+//! the operators' own.
 
 mod draw;
 mod trouble;
@@ -12,20 +12,20 @@
 use serde::{Deserialize, Serialize};
 
 pub use draw::{Amount, Bound, Draw, Positive, Share};
-pub use trouble::{Trouble, Who};
+pub use trouble::{ExchangeSelection, Trouble};
 
 use crate::LabError;
 
-/// One scenario.
+/// A scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, for tables and files.
+    /// Name of the scenario, for tables and files.
     pub name: String,
-    /// What it shows.
+    /// What the scenario shows.
     #[serde(default)]
     pub about: String,
-    /// Arrivals go on for so many seconds; then the day runs until every call is over.
+    /// Length of the arrival period, seconds. The day then runs until every call has ended.
     #[serde(default = "seconds")]
     pub seconds: Draw<Positive>,
     /// The exchanges.
@@ -33,34 +33,34 @@
     /// Offered traffic.
     #[serde(default)]
     pub load: Load,
-    /// Trunk groups and the plan they were sized for.
+    /// Trunk groups and the traffic plan that they are sized for.
     #[serde(default)]
     pub groups: Groups,
     /// Processors.
     #[serde(default)]
     pub processor: Processor,
-    /// What exchanges report.
+    /// Load reports of the exchanges.
     #[serde(default)]
     pub reports: Reports,
-    /// How news of exchanges reach the proxies.
+    /// Roster updates to the proxies.
     #[serde(default)]
     pub roster: Roster,
-    /// The centre that advises a tandem; without it calls carry no advice.
+    /// The centre that advises a tandem for each call.
     #[serde(default = "centre")]
     pub centre: Option<Centre>,
-    /// What callers do.
+    /// Behaviour of the callers.
     #[serde(default)]
     pub callers: Callers,
     /// Classes of call.
     #[serde(default = "classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// Subscribers.
+    /// Tenants.
     #[serde(default = "tenants", rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// The rules' figures.
+    /// Values of the rules.
     #[serde(default)]
     pub rules: Rules,
-    /// What goes wrong, and when.
+    /// Troubles and their times.
     #[serde(default, rename = "trouble")]
     pub troubles: Vec<Trouble>,
 }
@@ -69,21 +69,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// How many, each with its own signalling proxy; 2 to 1000.
+    /// Number of exchanges, each with its own signalling proxy; 2 to 1000.
     pub exchanges: Draw<Positive>,
-    /// Names of the regions; exchanges are dealt to them in turn.
+    /// Names of the regions; exchanges are assigned to them in turn.
     #[serde(default = "regions")]
     pub regions: Vec<String>,
-    /// One way between exchanges of one region, milliseconds.
+    /// One-way transmission time between exchanges of the same region, milliseconds.
     #[serde(default = "same_ms")]
     pub same_ms: Draw<Amount>,
-    /// One way between regions, milliseconds.
+    /// One-way transmission time between regions, milliseconds.
     #[serde(default = "cross_ms")]
     pub cross_ms: Draw<Amount>,
-    /// Spread of the time in flight, as a share of it.
+    /// Largest deviation from the transmission time, as a share of it.
     #[serde(default = "jitter")]
     pub jitter: Draw<Amount>,
-    /// A proxy handles what has come in once in so many milliseconds.
+    /// Interval at which proxies handle their events, milliseconds.
     #[serde(default = "tick_ms")]
     pub tick_ms: Draw<Positive>,
 }
@@ -92,9 +92,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// Poisson at a steady rate.
+    /// Poisson process with a constant rate.
     Steady,
-    /// Poisson at a rate that goes up and down by `swing` in spans of some seconds.
+    /// Poisson process whose rate alternates between higher and lower by `swing`, in spans of some seconds.
     Bursty,
 }
 
@@ -102,13 +102,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Offered over planned.
+    /// Offered load over planned load.
     pub offered: Draw<Positive>,
-    /// How it varies.
+    /// How arrivals vary in time.
     pub shape: Shape,
-    /// With `bursty`: the rate goes up and down by this share.
+    /// With `bursty`: share by which the rate is higher or lower.
     pub swing: Draw<Share>,
-    /// With `bursty`: a span lasts so many seconds on average.
+    /// With `bursty`: mean length of a span, seconds.
     pub swing_s: Draw<Positive>,
 }
 
@@ -123,25 +123,27 @@
     }
 }
 
-/// Trunk groups: one for each pair of exchanges, shared by both ends.
+/// Trunk groups: one for each pair of exchanges, from which both ends seize circuits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Groups {
-    /// Circuits that the calls of one exchange keep busy at the planned load (Erlang).
+    /// Planned traffic per exchange, Erlang.
     pub erlangs: Draw<Positive>,
     /// Coefficient of variation of the planned traffic between pairs.
     pub pair_cv: Draw<Amount>,
-    /// How much more traffic stays in a region than leaves it.
-    pub local: Draw<Positive>,
-    /// Coefficient of variation between the plan and the traffic, by pair.
-    pub missed_cv: Draw<Amount>,
-    /// The same for the drift of where calls go in the course of a day.
+    /// Factor on the planned traffic between exchanges of the same region.
+    #[serde(rename = "local")]
+    pub regional_factor: Draw<Positive>,
+    /// Coefficient of variation of the actual traffic against the plan, by pair.
+    #[serde(rename = "missed_cv")]
+    pub plan_error_cv: Draw<Amount>,
+    /// Coefficient of variation of the drift of the traffic between pairs during a day.
     pub drift_cv: Draw<Amount>,
-    /// Where calls go moves once in so many seconds.
+    /// Interval at which the drift changes, seconds.
     pub drift_s: Draw<Positive>,
-    /// Circuits beyond the planned Erlangs, in square roots of them.
+    /// Spare circuits beyond the planned Erlang of a group, in multiples of their square root.
     pub spare: Draw<Amount>,
-    /// Circuits of every group, in place of all sizing.
+    /// Circuits of every group; replaces the sizing from the plan.
     pub size: Option<u32>,
 }
 
@@ -150,8 +152,8 @@
         Groups {
             erlangs: Draw::between(130.0, 160.0),
             pair_cv: Draw::between(0.34, 0.58),
-            local: Draw::between(1.0, 2.0),
-            missed_cv: Draw::between(0.36, 0.61),
+            regional_factor: Draw::between(1.0, 2.0),
+            plan_error_cv: Draw::between(0.36, 0.61),
             drift_cv: Draw::between(0.36, 0.64),
             drift_s: Draw::between(13.0, 19.0),
             spare: Draw::between(0.23, 0.43),
@@ -160,40 +162,42 @@
     }
 }
 
-/// How long the same work takes.
+/// Distribution of the processing time of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkTime {
-    /// Always the same.
+    /// Constant.
     Fixed,
     /// Exponentially distributed.
     Exponential,
 }
 
-/// The processor of an exchange: one line. Work is counted in set-ups.
+/// The processor of an exchange, a single server. Work is counted in set-ups.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Processor {
-    /// Share of the time it is busy at the planned load with every call direct; 0 for no work at all.
+    /// Utilisation at planned load if every call is routed direct; 0 if no task takes time.
     #[serde(rename = "use")]
     pub busy: Draw<Share>,
-    /// Work of looking at a call, also one that is refused.
-    pub look: Draw<Amount>,
-    /// Work of turning a set-up away.
+    /// Work of inspecting an incoming call, even if it is refused then.
+    #[serde(rename = "look")]
+    pub inspect: Draw<Amount>,
+    /// Work of refusing a set-up.
     pub refuse: Draw<Amount>,
     /// Work of an answer, and of a release.
-    pub follow: Draw<Amount>,
-    /// A set-up that would wait longer is turned away, milliseconds.
+    #[serde(rename = "follow")]
+    pub answer_or_release: Draw<Amount>,
+    /// Wait above which a set-up is refused, milliseconds.
     pub longest_wait_ms: Draw<Positive>,
-    /// Answers and releases go before set-ups that wait; else behind them.
+    /// Whether answers and releases go before waiting set-ups; otherwise they go behind them.
     pub finish_first: bool,
-    /// A set-up that was given up is not worked on once that is heard of.
+    /// Whether a set-up whose cancellation has arrived is dropped without processing.
     pub cancel_drops: bool,
-    /// How long the same work takes.
+    /// Distribution of the processing time of a task.
     pub work: WorkTime,
-    /// A started processor begins at this share of its capacity.
+    /// Share of its full capacity at which a processor starts.
     pub cold_from: Draw<Share>,
-    /// It is warm after so many seconds.
+    /// Time from its start to full capacity, seconds.
     pub cold_s: Draw<Positive>,
 }
 
@@ -201,9 +205,9 @@
     fn default() -> Self {
         Processor {
             busy: Draw::between(0.68, 0.82),
-            look: Draw::between(0.15, 0.3),
+            inspect: Draw::between(0.15, 0.3),
             refuse: Draw::between(0.1, 0.3),
-            follow: Draw::between(0.25, 0.5),
+            answer_or_release: Draw::between(0.25, 0.5),
             longest_wait_ms: Draw::between(1500.0, 3500.0),
             finish_first: false,
             cancel_drops: false,
@@ -214,15 +218,15 @@
     }
 }
 
-/// Load reports, which come with the outcomes of attempts.
+/// Load reports, which accompany the outcomes of attempts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Reports {
-    /// A processor's figures are taken once in so many milliseconds.
+    /// Interval at which a processor measures its load, milliseconds.
     pub period_ms: Draw<Positive>,
-    /// They are known so much later, milliseconds.
+    /// Time until reports use a measurement, milliseconds.
     pub delay_ms: Draw<Amount>,
-    /// Spread of their noise, as a share.
+    /// Standard deviation of the measurement noise, as a share of the value.
     pub noise: Draw<Amount>,
 }
 
@@ -236,74 +240,82 @@
     }
 }
 
-/// The list of exchanges, pushed to every proxy.
+/// The roster, pushed to every proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Roster {
-    /// A planned change, as of a drain or a new processor, is told after so many seconds.
-    pub planned_s: Draw<Amount>,
-    /// A processor that has died is noticed after so many seconds.
-    pub notice_s: Draw<Amount>,
-    /// Proxies are told within so many milliseconds of each other.
+    /// Delay until the roster publishes a planned change, such as a drain or a new processor, seconds.
+    #[serde(rename = "planned_s")]
+    pub planned_delay_s: Draw<Amount>,
+    /// Delay until the roster publishes a processor's crash, seconds.
+    #[serde(rename = "notice_s")]
+    pub crash_delay_s: Draw<Amount>,
+    /// Longest further delay until a proxy receives an update, milliseconds; each proxy has its own.
     pub spread_ms: Draw<Amount>,
 }
 
 impl Default for Roster {
     fn default() -> Self {
         Roster {
-            planned_s: Draw::between(0.43, 2.3),
-            notice_s: Draw::between(2.6, 4.9),
+            planned_delay_s: Draw::between(0.43, 2.3),
+            crash_delay_s: Draw::between(2.6, 4.9),
             spread_ms: Draw::between(120.0, 340.0),
         }
     }
 }
 
-/// The centre: it looks at all groups and advises the tandem with most room.
+/// The network management centre: it surveys all groups and advises the tandem with the most free circuits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Centre {
-    /// It looks once in so many seconds.
-    pub every_s: Draw<Positive>,
-    /// What it saw is used so many seconds later.
-    pub late_s: Draw<Amount>,
+    /// Interval between surveys, seconds.
+    #[serde(rename = "every_s")]
+    pub interval_s: Draw<Positive>,
+    /// Time until a survey is used for advice, seconds.
+    #[serde(rename = "late_s")]
+    pub advice_delay_s: Draw<Amount>,
 }
 
 impl Default for Centre {
     fn default() -> Self {
-        Centre { every_s: Draw::of(2.6), late_s: Draw::of(1.2) }
+        Centre { interval_s: Draw::of(2.6), advice_delay_s: Draw::of(1.2) }
     }
 }
 
-/// How the wait before a caller's next try grows.
+/// How a caller's wait before a redial grows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Backoff {
-    /// It stays the same.
+    /// The wait stays the same.
     Fixed,
-    /// It doubles.
+    /// The wait doubles with each redial.
     Doubling,
 }
 
-/// Habits of callers.
+/// Behaviour of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Callers {
-    /// Further tries of a caller, at most; a day that draws 1.6 has six callers in ten with 2 and the rest with 1.
+    /// Highest number of redials. If a day draws 1.6, six callers in ten redial up to twice and the others once.
     pub redials: Draw<Amount>,
-    /// A try is given up after this share of the class's give-up time.
+    /// Share of the class's give-up time after which a request is given up.
     pub try_share: Draw<Share>,
     /// Wait before a redial, milliseconds.
     pub wait_ms: Draw<Positive>,
-    /// How it grows.
+    /// How the wait grows.
     pub backoff: Backoff,
-    /// Share of the callers that come back just when they are asked to, in place of after their own wait.
-    pub heed: Draw<Share>,
-    /// Share of the callers that leave early, at an even moment of their time.
-    pub impatient: Draw<Share>,
-    /// Share of the calls that come again after they were cut.
-    pub come_again: Draw<Share>,
-    /// Redials are marked.
-    pub marked: bool,
+    /// Share of the callers that redial after the requested cool-down instead of their own wait.
+    #[serde(rename = "heed")]
+    pub heed_share: Draw<Share>,
+    /// Share of the callers that abandon their first request early, after a uniformly distributed time.
+    #[serde(rename = "impatient")]
+    pub impatient_share: Draw<Share>,
+    /// Share of the callers that re-establish their call after it was cut.
+    #[serde(rename = "come_again")]
+    pub reestablish_share: Draw<Share>,
+    /// Whether requests mark redials.
+    #[serde(rename = "marked")]
+    pub redials_marked: bool,
 }
 
 impl Default for Callers {
@@ -313,10 +325,10 @@
             try_share: Draw::between(0.3, 0.4),
             wait_ms: Draw::between(560.0, 1500.0),
             backoff: Backoff::Fixed,
-            heed: Draw::between(0.32, 0.78),
-            impatient: Draw::between(0.0, 0.01),
-            come_again: Draw::of(0.0),
-            marked: true,
+            heed_share: Draw::between(0.32, 0.78),
+            impatient_share: Draw::between(0.0, 0.01),
+            reestablish_share: Draw::of(0.0),
+            redials_marked: true,
         }
     }
 }
@@ -325,11 +337,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the calls.
+    /// Its calls relative to those of the other classes.
     pub share: Draw<Positive>,
-    /// Circuits a call takes on every group it crosses.
+    /// Circuits that a call needs on every group of its route.
     #[serde(default = "one")]
     pub width: u32,
     /// Mean holding time, seconds.
@@ -337,62 +349,68 @@
     /// Coefficient of variation of the holding time; lognormal, but exponential at 1.
     #[serde(default = "hold_cv")]
     pub hold_cv: Draw<Amount>,
-    /// Full worth if the call stands within so many seconds of the first try.
+    /// Time from the first dialling within which an established call has its full worth, seconds.
     pub aim_s: Draw<Positive>,
-    /// Callers give up so many seconds after the first try.
+    /// Time from the first dialling after which callers give up, seconds.
     pub give_up_s: Draw<Positive>,
     /// Worth of a call.
     pub worth: Draw<Positive>,
-    /// Share of the worth if it stands later.
+    /// Share of the worth if the call is established later.
     pub late_worth: Draw<Share>,
 }
 
-/// A subscriber.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its share of the service.
+    /// Its share of the fleet's quota.
     pub share: Draw<Share>,
-    /// Its calls over its share.
+    /// Its offered calls relative to its share.
     #[serde(default = "usage")]
     pub usage: Draw<Positive>,
 }
 
-/// Figures of the rules and of how service is counted.
+/// Values of the rules and of the service score.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Attempts of one request, at most.
-    pub attempts: u32,
-    /// No send for so long after a time-out, reset or cancel, milliseconds.
-    pub release_ms: Draw<Amount>,
-    /// Nothing new to an exchange so long after its drain was told, milliseconds.
-    pub drain_ms: Draw<Amount>,
-    /// A final answer still counts so long after the caller's time, milliseconds.
-    pub slack_ms: Draw<Amount>,
-    /// A cold processor that is sent more than this multiple of what it can do ...
-    pub fall_multiple: Draw<Positive>,
-    /// ... for so long falls over and stays down, milliseconds.
-    pub fall_ms: Draw<Positive>,
-    /// Callers are told how long to stay away, up to so many seconds; 0 for not at all.
+    /// Highest number of attempts of one request.
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
+    /// Pause of a request's attempts after a time-out, reset or cancellation, milliseconds.
+    #[serde(rename = "release_ms")]
+    pub release_pause_ms: Draw<Amount>,
+    /// Time after a drain's roster update for which new set-ups are allowed, milliseconds.
+    #[serde(rename = "drain_ms")]
+    pub drain_grace_ms: Draw<Amount>,
+    /// Time after a request's deadline for which a final answer is allowed, milliseconds.
+    #[serde(rename = "slack_ms")]
+    pub answer_slack_ms: Draw<Amount>,
+    /// A cold processor fails if it is sent more than this multiple of the set-ups that its present capacity allows.
+    #[serde(rename = "fall_multiple")]
+    pub cold_failure_multiple: Draw<Positive>,
+    /// Window over which these set-ups are counted, milliseconds.
+    #[serde(rename = "fall_ms")]
+    pub cold_failure_window_ms: Draw<Positive>,
+    /// Longest cool-down that callers can be asked for, seconds; 0 for none.
     pub longest_cool_down_s: Draw<Amount>,
-    /// Worth of a call beyond its tenant's share.
+    /// Factor on the worth of a call beyond its tenant's share.
     pub over_share_worth: Draw<Share>,
-    /// All shares together, over what the fleet can carry.
+    /// The fleet's quota of calls, relative to the planned calls.
     pub quota: Draw<Positive>,
 }
 
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            attempts: 4,
-            release_ms: Draw::of(300.0),
-            drain_ms: Draw::of(500.0),
-            slack_ms: Draw::of(20.0),
-            fall_multiple: Draw::of(4.0),
-            fall_ms: Draw::of(2000.0),
+            max_attempts: 4,
+            release_pause_ms: Draw::of(300.0),
+            drain_grace_ms: Draw::of(500.0),
+            answer_slack_ms: Draw::of(20.0),
+            cold_failure_multiple: Draw::of(4.0),
+            cold_failure_window_ms: Draw::of(2000.0),
             longest_cool_down_s: Draw::of(2.0),
             over_share_worth: Draw::of(0.2),
             quota: Draw::between(0.76, 0.94),
@@ -427,13 +445,14 @@
 fn usage() -> Draw<Positive> {
     Draw::of(1.0)
 }
-// An absent table is the operators' centre; `Option` without this would be none at all.
+// Without this default an absent table would mean no centre instead of the operators' centre.
 fn centre() -> Option<Centre> {
     Some(Centre::default())
 }
 
-fn class(name: &str, share: [f64; 2], width: u32, hold: [f64; 2], figures: [f64; 4]) -> Class {
-    let [aim, give_up, worth, late_worth] = figures;
+/// A class; `times_and_worth` holds its `aim_s`, `give_up_s`, `worth` and `late_worth`.
+fn class(name: &str, share: [f64; 2], width: u32, hold: [f64; 2], times_and_worth: [f64; 4]) -> Class {
+    let [aim, give_up, worth, late_worth] = times_and_worth;
     Class {
         name: name.to_owned(),
         share: Draw::between(share[0], share[1]),
@@ -456,7 +475,7 @@
     ]
 }
 
-/// The operators' subscribers.
+/// The operators' tenants.
 pub fn tenants() -> Vec<Tenant> {
     let tenant = |name: &str, share, usage: [f64; 2]| Tenant {
         name: name.to_owned(),
@@ -477,16 +496,16 @@
 }
 
 fn parse_toml<T: for<'de> Deserialize<'de>>(text: &str, path: &Path) -> Result<T, LabError> {
-    let fault = |key: String, error: toml::de::Error| {
+    let key_error = |key: String, error: toml::de::Error| {
         let before = error.span().and_then(|span| text.get(..span.start)).unwrap_or("");
         let line = before.matches('\n').count() + 1;
         let key = if key.is_empty() || key == "." { "file".to_owned() } else { key };
         LabError::Key { path: path.to_owned(), line, key, what: error.message().trim_end().to_owned() }
     };
-    let de = toml::Deserializer::parse(text).map_err(|e| fault(String::new(), e))?;
+    let de = toml::Deserializer::parse(text).map_err(|e| key_error(String::new(), e))?;
     serde_path_to_error::deserialize(de).map_err(|e| {
         let key = e.path().to_string();
-        fault(key, e.into_inner())
+        key_error(key, e.into_inner())
     })
 }
 
@@ -505,55 +524,55 @@
         Ok(scenario)
     }
 
-    /// What no single key shows.
+    /// Checks what concerns several keys.
     fn check(&self, path: &Path) -> Result<(), LabError> {
-        let sense = |key: &str, what: &str| {
+        let invalid = |key: &str, what: &str| {
             Err(LabError::Sense { path: PathBuf::from(path), key: key.to_owned(), what: what.to_owned() })
         };
         let n = self.fleet.exchanges;
-        if n.least() < 2.0 || n.most() > 1000.0 {
-            return sense("fleet.exchanges", "want 2 to 1000 exchanges");
+        if n.lowest() < 2.0 || n.highest() > 1000.0 {
+            return invalid("fleet.exchanges", "want 2 to 1000 exchanges");
         }
         if self.fleet.regions.is_empty() {
-            return sense("fleet.regions", "want one region at least");
+            return invalid("fleet.regions", "want one region at least");
         }
         if self.classes.is_empty() {
-            return sense("class", "want one class at least");
+            return invalid("class", "want one class at least");
         }
         if self.tenants.is_empty() {
-            return sense("tenant", "want one subscriber at least");
+            return invalid("tenant", "want one tenant at least");
         }
-        let twice = |names: Vec<&str>| {
+        let duplicate = |names: Vec<&str>| {
             let mut seen = std::collections::BTreeSet::new();
             names.into_iter().find(|n| !seen.insert(*n)).map(str::to_owned)
         };
-        if let Some(name) = twice(self.classes.iter().map(|c| c.name.as_str()).collect()) {
-            return sense("class.name", &format!("'{name}' is there twice"));
+        if let Some(name) = duplicate(self.classes.iter().map(|c| c.name.as_str()).collect()) {
+            return invalid("class.name", &format!("'{name}' occurs twice"));
         }
-        if let Some(name) = twice(self.tenants.iter().map(|t| t.name.as_str()).collect()) {
-            return sense("tenant.name", &format!("'{name}' is there twice"));
+        if let Some(name) = duplicate(self.tenants.iter().map(|t| t.name.as_str()).collect()) {
+            return invalid("tenant.name", &format!("'{name}' occurs twice"));
         }
         for (ix, class) in self.classes.iter().enumerate() {
             if class.width == 0 {
-                return sense(&format!("class[{ix}].width"), "want 1 circuit or more");
+                return invalid(&format!("class[{ix}].width"), "want 1 circuit or more");
             }
-            if class.aim_s.most() > class.give_up_s.least() {
-                return sense(
+            if class.aim_s.highest() > class.give_up_s.lowest() {
+                return invalid(
                     &format!("class[{ix}].aim_s"),
-                    "callers give up before the wanted time is over",
+                    "callers give up before the time for full worth is over",
                 );
             }
         }
-        let shares: f64 = self.tenants.iter().map(|t| t.share.middle()).sum();
+        let shares: f64 = self.tenants.iter().map(|t| t.share.midpoint()).sum();
         if (shares - 1.0).abs() > 0.01 {
-            return sense("tenant.share", &format!("the shares sum to {shares:.2}, want 1"));
+            return invalid("tenant.share", &format!("the shares sum to {shares:.2}, want 1"));
         }
-        if self.rules.attempts == 0 {
-            return sense("rules.attempts", "want 1 or more");
+        if self.rules.max_attempts == 0 {
+            return invalid("rules.attempts", "want 1 or more");
         }
         for (ix, trouble) in self.troubles.iter().enumerate() {
             if let Err((key, what)) = trouble.check(self) {
-                return sense(&format!("trouble[{ix}].{key}"), &what);
+                return invalid(&format!("trouble[{ix}].{key}"), &what);
             }
         }
         Ok(())
--- a/crates/lab/src/scenario/trouble.rs
+++ b/crates/lab/src/scenario/trouble.rs
@@ -1,125 +1,126 @@
-//! What goes wrong on a day, as a timeline.
+//! Troubles of a scenario and their times.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use super::{Amount, Draw, Positive, Scenario, Share};
 
-/// Which exchanges a trouble hits.
+/// The exchanges that a trouble affects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
-pub enum Who {
-    /// So many, drawn anew each day.
-    Some(u32),
-    /// These, counted from 0.
-    These(Vec<usize>),
+#[schemars(rename = "Who")]
+pub enum ExchangeSelection {
+    /// This number of exchanges, drawn for each day.
+    Count(u32),
+    /// These exchanges, numbered from 0.
+    Listed(Vec<usize>),
 }
 
-/// One trouble. Times are seconds from the start of the day.
+/// A trouble. Times are in seconds; `at` counts from the start of the day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Trouble {
-    /// Calls jump to `size` times the usual.
+    /// The offered calls rise to `size` times the usual.
     Surge {
-        /// Its start.
+        /// Start.
         at: Draw<Amount>,
-        /// How long it lasts.
+        /// Duration.
         seconds: Draw<Positive>,
-        /// Times the usual.
+        /// Factor on the usual calls.
         size: Draw<Positive>,
-        /// Rise and fall, seconds each.
+        /// Length of the rise and of the fall, seconds each.
         #[serde(default = "ramp")]
         ramp_s: Draw<Amount>,
     },
-    /// Some exchanges suddenly get this share of all calls beside their own.
+    /// Some exchanges get an additional share of all calls.
     Lopsided {
-        /// Its start.
+        /// Start.
         at: Draw<Amount>,
-        /// How long it lasts.
+        /// Duration.
         seconds: Draw<Positive>,
-        /// Which.
+        /// The exchanges.
         #[serde(default = "one")]
-        exchanges: Who,
-        /// Share of all calls.
+        exchanges: ExchangeSelection,
+        /// Additional share of all calls.
         share: Draw<Share>,
     },
-    /// New processors take the place of old ones, a few at a time, and start cold.
+    /// New processors replace old ones, a few at a time, and start cold.
     Replace {
-        /// The first drain.
+        /// Start of the first drain.
         at: Draw<Amount>,
-        /// All are replaced within so long.
+        /// Time within which the replacements begin.
         seconds: Draw<Positive>,
-        /// Which.
-        exchanges: Who,
-        /// How many at a time.
+        /// The exchanges.
+        exchanges: ExchangeSelection,
+        /// Number of exchanges replaced at the same time.
         #[serde(default = "single")]
         batch: u32,
-        /// An old one drains for so long, then stops; calls through it are cut.
+        /// Time for which an old processor drains; then it stops, and the calls through it are cut.
         #[serde(default = "drain")]
         drain_s: Draw<Amount>,
-        /// The new one starts so long after that.
+        /// Time from that stop to the start of the new processor.
         #[serde(default = "gap")]
         gap_s: Draw<Amount>,
     },
-    /// The groups between one region and the others keep a part of their circuits; calls on the lost ones are cut.
+    /// The groups between a region and the others lose circuits; the calls on those are cut.
     LostCircuits {
-        /// Its start.
+        /// Start.
         at: Draw<Amount>,
-        /// How long it lasts.
+        /// Duration.
         seconds: Draw<Positive>,
-        /// The region by name; drawn where it is not given.
+        /// Name of the region; drawn if absent.
         region: Option<String>,
-        /// The part that is kept.
+        /// Share of the circuits that stays.
         keep: Draw<Share>,
     },
-    /// Processors run so many times slower.
+    /// Processors run slower.
     Slow {
-        /// Its start.
+        /// Start.
         at: Draw<Amount>,
-        /// How long it lasts.
+        /// Duration.
         seconds: Draw<Positive>,
-        /// Which; all where it is not given.
-        exchanges: Option<Who>,
-        /// Times slower.
+        /// The exchanges; all if absent.
+        exchanges: Option<ExchangeSelection>,
+        /// Factor on the processing times.
         size: Draw<Positive>,
     },
-    /// Processors die without a word: all calls that touch them are cut. They come back cold, or not at all.
+    /// Processors crash without notice, and all calls through them are cut. They restart cold, or not at all.
     Crash {
-        /// When.
+        /// Time of the failure.
         at: Draw<Amount>,
-        /// Which.
+        /// The exchanges.
         #[serde(default = "one")]
-        exchanges: Who,
-        /// They are back after so long; never where it is not given.
+        exchanges: ExchangeSelection,
+        /// Time until they restart; they never do if absent.
         back_s: Option<Draw<Amount>>,
     },
-    /// Signalling proxies are killed and start again knowing nothing.
+    /// Signalling proxies are killed and restart without their state.
     ProxyRestart {
-        /// When.
+        /// Time of the failure.
         at: Draw<Amount>,
-        /// Which.
+        /// The exchanges.
         #[serde(default = "one")]
-        exchanges: Who,
-        /// They are away for so long.
+        exchanges: ExchangeSelection,
+        /// Time until they restart.
         #[serde(default = "away")]
         seconds: Draw<Amount>,
     },
-    /// The roster tells some proxies nothing more for a while.
+    /// Some proxies receive no roster updates for a time.
     RosterStopped {
-        /// Its start.
+        /// Start.
         at: Draw<Amount>,
-        /// How long it lasts.
+        /// Duration.
         seconds: Draw<Positive>,
-        /// Which; all where it is not given.
-        exchanges: Option<Who>,
+        /// The exchanges; all if absent.
+        exchanges: Option<ExchangeSelection>,
     },
 }
 
 fn ramp() -> Draw<Amount> {
     Draw::of(1.0)
 }
-fn one() -> Who {
-    Who::Some(1)
+fn one() -> ExchangeSelection {
+    ExchangeSelection::Count(1)
 }
 fn single() -> u32 {
     1
@@ -135,7 +136,7 @@
 }
 
 impl Trouble {
-    /// Its name in tables.
+    /// Name of the kind, as in scenario files.
     pub fn name(&self) -> &'static str {
         match self {
             Trouble::Surge { .. } => "surge",
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Its start.
+    /// Start of the trouble.
     pub fn at(&self) -> Draw<Amount> {
         match self {
             Trouble::Surge { at, .. }
@@ -163,7 +164,8 @@
         }
     }
 
-    fn who(&self) -> Option<&Who> {
+    /// The selection of exchanges, if it has one.
+    fn selection(&self) -> Option<&ExchangeSelection> {
         match self {
             Trouble::Lopsided { exchanges, .. }
             | Trouble::Replace { exchanges, .. }
@@ -174,34 +176,37 @@
         }
     }
 
-    /// What makes no sense in this scenario: the key and why.
+    /// Checks the trouble against its scenario; an error names the key and the reason.
     pub(super) fn check(&self, scenario: &Scenario) -> Result<(), (String, String)> {
-        let least = scenario.fleet.exchanges.least();
-        let wrong = |key: &str, what: String| Err((key.to_owned(), what));
-        if self.at().most() >= scenario.seconds.most() {
-            return wrong("at", format!("the day lasts {} s only", scenario.seconds.most()));
+        let fewest_exchanges = scenario.fleet.exchanges.lowest();
+        let invalid = |key: &str, what: String| Err((key.to_owned(), what));
+        if self.at().highest() >= scenario.seconds.highest() {
+            return invalid("at", format!("the day lasts {} s only", scenario.seconds.highest()));
         }
-        match self.who() {
-            Some(Who::Some(0)) => return wrong("exchanges", "want 1 or more".to_owned()),
-            Some(Who::Some(n)) if f64::from(*n) > least => {
-                return wrong("exchanges", format!("there may be only {least} exchanges"));
+        match self.selection() {
+            Some(ExchangeSelection::Count(0)) => return invalid("exchanges", "want 1 or more".to_owned()),
+            Some(ExchangeSelection::Count(n)) if f64::from(*n) > fewest_exchanges => {
+                return invalid("exchanges", format!("there may be only {fewest_exchanges} exchanges"));
             }
-            Some(Who::These(list)) => {
-                if let Some(ix) = list.iter().find(|ix| **ix as f64 >= least) {
-                    return wrong("exchanges", format!("there may be no exchange {ix} (they count from 0)"));
+            Some(ExchangeSelection::Listed(list)) => {
+                if let Some(ix) = list.iter().find(|ix| **ix as f64 >= fewest_exchanges) {
+                    return invalid(
+                        "exchanges",
+                        format!("there may be no exchange {ix} (they count from 0)"),
+                    );
                 }
                 if list.is_empty() {
-                    return wrong("exchanges", "want one or more".to_owned());
+                    return invalid("exchanges", "want one or more".to_owned());
                 }
             }
             _ => {}
         }
         match self {
-            Trouble::Replace { batch: 0, .. } => wrong("batch", "want 1 or more".to_owned()),
+            Trouble::Replace { batch: 0, .. } => invalid("batch", "want 1 or more".to_owned()),
             Trouble::LostCircuits { region: Some(region), .. }
                 if !scenario.fleet.regions.contains(region) =>
             {
-                wrong("region", format!("there is no region '{region}'"))
+                invalid("region", format!("there is no region '{region}'"))
             }
             _ => Ok(()),
         }
--- a/crates/lab/tests/study.rs
+++ b/crates/lab/tests/study.rs
@@ -85,7 +85,7 @@
     let points = grid(&s, &built_in("today"), &axes).expect("a grid");
     assert_eq!(points.len(), 4);
     assert_eq!(points[0].arm.tuning.abate, 0.55);
-    assert_eq!(points[3].scenario.load.offered.most(), 0.9);
+    assert_eq!(points[3].scenario.load.offered.highest(), 0.9);
     assert_eq!(points[3].arm.tuning, Tuning { abate: 0.65, ..Tuning::default() });
     for (axis, part) in
         [("load.offerd=1", "offerd"), ("load.offered=-1", "load.offered"), ("tuning.abat=1", "abat")]
