--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small days and rogue proxies.
+//! Small scenarios, and proxies that break rules.
 #![allow(dead_code)]
 
 use std::path::Path;
@@ -13,36 +13,36 @@
 use mallowring_lab::world::{run, DayResult};
 use mallowring_lab::LabError;
 
-/// A scenario of four exchanges with these further lines; top-level keys come first.
+/// A scenario of four exchanges with further TOML lines appended.
 pub fn scenario(seconds: u32, more: &str) -> Scenario {
     let text = format!("name = \"test\"\nseconds = {seconds}\n[fleet]\nexchanges = 4\n{more}");
     Scenario::parse(&text, Path::new("test.toml")).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// A day with shipped proxies.
+/// Simulates a day with shipped proxies.
 pub fn shipped(scenario: &Scenario, seed: u64) -> DayResult {
-    play(scenario, seed, &mut Shipped::new(Tuning::default()))
+    simulate(scenario, seed, &mut Shipped::new(Tuning::default()))
 }
 
-/// A day with these proxies.
-pub fn play(scenario: &Scenario, seed: u64, seats: &mut dyn ProxyFleet) -> DayResult {
+/// Simulates a day with a fleet of proxies.
+pub fn simulate(scenario: &Scenario, seed: u64, fleet: &mut dyn ProxyFleet) -> DayResult {
     let day = Day::draw(scenario, seed);
-    run(&day, &generate(&day), seats, 0).expect("these proxies do not fail")
+    run(&day, &generate(&day), fleet, 0).expect("these proxies do not fail")
 }
 
-/// Proxies without control whose commands something is done to.
-pub struct Rogue<F> {
+/// Proxies without overload control whose effects a closure alters.
+pub struct Altered<F> {
     inner: Direct,
-    sin: F,
+    alter: F,
 }
 
-impl<F> Rogue<F> {
-    pub fn new(sin: F) -> Self {
-        Rogue { inner: Direct::default(), sin }
+impl<F> Altered<F> {
+    pub fn new(alter: F) -> Self {
+        Altered { inner: Direct::default(), alter }
     }
 }
 
-impl<F: FnMut(Time, &EventsByProxy, &mut Vec<(usize, CallEffect)>)> ProxyFleet for Rogue<F> {
+impl<F: FnMut(Time, &EventsByProxy, &mut Vec<(usize, CallEffect)>)> ProxyFleet for Altered<F> {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         self.inner.start(day, proxy, now, seed)
     }
@@ -52,17 +52,17 @@
     fn tick(
         &mut self,
         now: Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, CallEffect)>,
     ) -> Result<(), LabError> {
-        self.inner.tick(now, told.clone(), out)?;
-        (self.sin)(now, &told, out);
+        self.inner.tick(now, events.clone(), out)?;
+        (self.alter)(now, &events, out);
         Ok(())
     }
 }
 
-/// The ends of attempts that were told.
-pub fn ends(told: &EventsByProxy) -> impl Iterator<Item = (usize, &CallEvent)> {
-    let all = told.iter().flat_map(|(proxy, inputs)| inputs.iter().map(move |i| (*proxy, i)));
-    all.filter(|(_, input)| matches!(input, CallEvent::SetUpFailed { .. }))
+/// The failures of set-ups among events.
+pub fn failures(events: &EventsByProxy) -> impl Iterator<Item = (usize, &CallEvent)> {
+    let all = events.iter().flat_map(|(proxy, inbox)| inbox.iter().map(move |event| (*proxy, event)));
+    all.filter(|(_, event)| matches!(event, CallEvent::SetUpFailed { .. }))
 }
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -1,8 +1,8 @@
-//! The model's own watch over the rules: policies that break one on purpose are caught at it.
+//! The rule monitor of the fleet model: policies that break a rule on purpose are reported.
 
 mod common;
 
-use common::{ends, play, scenario, Rogue};
+use common::{failures, scenario, simulate, Altered};
 use mallowring::calls::{CallEffect, CallEvent, CallerCommand, ExchangeCommand, Front, SetUp};
 use mallowring::interface::{Outcome, Time};
 use mallowring_lab::proxy::{Direct, EventsByProxy};
@@ -19,36 +19,36 @@
 }
 
 #[track_caller]
-fn breaks(day: &DayResult, rule: Rule) {
+fn assert_violation(day: &DayResult, rule: Rule) {
     assert!(day.broken.iter().any(|b| b.rule == rule), "{rule:?} is not among {:?}", day.broken);
-    assert_eq!(day.service.figure, 0.0, "a broken rule voids the run");
+    assert_eq!(day.service.figure, 0.0, "a broken rule sets the score to 0");
 }
 
 #[test]
-fn a_plain_policy_breaks_none() {
-    let day = play(&scenario(10, BUSY), 1, &mut Direct::default());
+fn a_policy_without_control_breaks_no_rule() {
+    let day = simulate(&scenario(10, BUSY), 1, &mut Direct::default());
     assert_eq!(day.broken, vec![]);
     assert_eq!(day.leaks, Vec::<String>::new());
 }
 
 #[test]
 fn a_second_final_answer() {
-    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
+    let mut altered = Altered::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         let answers =
             out.iter().filter(|(_, c)| matches!(c, CallEffect::Caller(_, _, CallerCommand::Refuse(_))));
         let twice: Vec<_> = answers.cloned().collect();
         out.extend(twice);
     });
-    breaks(&play(&scenario(10, BUSY), 1, &mut rogue), Rule::FinalAnswer);
+    assert_violation(&simulate(&scenario(10, BUSY), 1, &mut altered), Rule::FinalAnswer);
 }
 
 #[test]
 fn no_final_answer() {
-    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
+    let mut altered = Altered::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, _, CallerCommand::Refuse(_))));
     });
-    let day = play(&scenario(10, BUSY), 1, &mut rogue);
-    breaks(&day, Rule::FinalAnswer);
+    let day = simulate(&scenario(10, BUSY), 1, &mut altered);
+    assert_violation(&day, Rule::FinalAnswer);
     assert!(day
         .broken
         .iter()
@@ -57,33 +57,33 @@
 
 #[test]
 fn an_answer_that_no_exchange_made() {
-    let mut rogue = Rogue::new(|_: Time, told: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
-        for (proxy, input) in ends(told) {
-            if let CallEvent::SetUpFailed { id, .. } = input {
+    let mut altered = Altered::new(|_: Time, events: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
+        for (proxy, event) in failures(events) {
+            if let CallEvent::SetUpFailed { id, .. } = event {
                 out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, i, _) if i == id));
-                let made_up = CallerCommand::Answer(b"it stands, really".as_slice().into());
-                out.push((proxy, CallEffect::Caller(Front::Platform, id.clone(), made_up)));
+                let invented = CallerCommand::Answer(b"an invented description".as_slice().into());
+                out.push((proxy, CallEffect::Caller(Front::Platform, id.clone(), invented)));
             }
         }
     });
-    breaks(&play(&scenario(10, BUSY), 1, &mut rogue), Rule::FinalAnswer);
+    assert_violation(&simulate(&scenario(10, BUSY), 1, &mut altered), Rule::FinalAnswer);
 }
 
 #[test]
 fn two_attempts_at_once() {
-    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
+    let mut altered = Altered::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
         let twice: Vec<_> = out.iter().filter(|(_, c)| set_up(c).is_some()).cloned().collect();
         out.extend(twice);
     });
-    breaks(&play(&scenario(10, BUSY), 1, &mut rogue), Rule::OneAttempt);
+    assert_violation(&simulate(&scenario(10, BUSY), 1, &mut altered), Rule::OneAttempt);
 }
 
-/// Tries again at the same exchange, whatever became of the attempt, as often as `most` allows.
-fn again(most: u32) -> impl FnMut(Time, &EventsByProxy, &mut Vec<(usize, CallEffect)>) {
-    move |now: Time, told: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
-        for (proxy, input) in ends(told) {
-            let CallEvent::SetUpFailed { id, exchange: office, leg, .. } = input else { continue };
-            if leg.unwrap_or(0) + 1 >= most {
+/// Starts another attempt at the same exchange after any failure, up to `max_attempts` attempts.
+fn retry_up_to(max_attempts: u32) -> impl FnMut(Time, &EventsByProxy, &mut Vec<(usize, CallEffect)>) {
+    move |now: Time, events: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
+        for (proxy, event) in failures(events) {
+            let CallEvent::SetUpFailed { id, exchange: exchange_id, leg, .. } = event else { continue };
+            if leg.unwrap_or(0) + 1 >= max_attempts {
                 continue;
             }
             out.retain(|(_, c)| !matches!(c, CallEffect::Caller(_, i, _) if i == id));
@@ -96,60 +96,62 @@
                 description: b"caller".as_slice().into(),
                 abandon_at: now + 1.0,
             };
-            out.push((proxy, CallEffect::Exchange(*office, id.clone(), ExchangeCommand::SetUp(set_up))));
+            out.push((proxy, CallEffect::Exchange(*exchange_id, id.clone(), ExchangeCommand::SetUp(set_up))));
         }
     }
 }
 
 #[test]
 fn one_attempt_too_many() {
-    let four = play(&scenario(10, BUSY), 1, &mut Rogue::new(again(4)));
+    let four = simulate(&scenario(10, BUSY), 1, &mut Altered::new(retry_up_to(4)));
     assert!(!four.broken.iter().any(|b| b.rule == Rule::OneAttempt), "{:?}", four.broken);
-    breaks(&play(&scenario(10, BUSY), 1, &mut Rogue::new(again(5))), Rule::OneAttempt);
+    assert_violation(&simulate(&scenario(10, BUSY), 1, &mut Altered::new(retry_up_to(5))), Rule::OneAttempt);
 }
 
 #[test]
-fn a_send_too_soon_after_a_reset() {
+fn a_set_up_too_soon_after_a_reset() {
     let crash = "[[trouble]]\nkind = \"crash\"\nat = 4\nexchanges = [1]\nback_s = 2\n";
     let mut resets = 0;
-    let mut retry = again(4);
-    let mut rogue = Rogue::new(|now: Time, told: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
-        let reset = |(_, i): &(usize, &CallEvent)| {
-            matches!(i, CallEvent::SetUpFailed { outcome: Outcome::Reset, .. })
-        };
-        resets += ends(told).filter(reset).count();
-        retry(now, told, out);
-    });
-    let day = play(&scenario(10, crash), 2, &mut rogue);
-    breaks(&day, Rule::Release);
-    assert!(resets > 0, "the very event that starts the pause has happened");
+    let mut retry = retry_up_to(4);
+    let mut altered =
+        Altered::new(|now: Time, events: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
+            let reset = |(_, i): &(usize, &CallEvent)| {
+                matches!(i, CallEvent::SetUpFailed { outcome: Outcome::Reset, .. })
+            };
+            resets += failures(events).filter(reset).count();
+            retry(now, events, out);
+        });
+    let day = simulate(&scenario(10, crash), 2, &mut altered);
+    assert_violation(&day, Rule::Release);
+    assert!(resets > 0, "the event that starts the pause must occur");
 }
 
 #[test]
-fn a_send_to_an_exchange_that_drains() {
-    // Plain proxies forget no exchange: they go on sending to the one that drains.
+fn a_set_up_to_a_draining_exchange() {
+    // Proxies without overload control keep sending to an exchange that drains.
     let replace = "[[trouble]]\nkind = \"replace\"\nat = 2\nseconds = 1\nexchanges = [1]\ndrain_s = 6\n";
-    let day = play(&scenario(10, replace), 1, &mut Direct::default());
-    breaks(&day, Rule::Drains);
-    // The drain begins at 2 s, is told up to 2.6 s later, and sends may go on for 0.5 s.
+    let day = simulate(&scenario(10, replace), 1, &mut Direct::default());
+    assert_violation(&day, Rule::Drains);
+    // The drain begins at 2 s, its roster update arrives up to 2.6 s later, and set-ups may go on for 0.5 s.
     let first = day.broken.iter().find(|b| b.rule == Rule::Drains).map(|b| b.at_s);
     assert!(first.is_some_and(|at| at > 2.5), "{first:?}");
 }
 
 #[test]
-fn a_send_to_the_own_exchange() {
-    let mut rogue = Rogue::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
-        // Everybody sends where the first one of them does.
-        let office = out.iter().find_map(|(_, c)| match c {
-            CallEffect::Exchange(office, _, ExchangeCommand::SetUp(_)) => Some(*office),
+fn a_set_up_to_the_proxys_own_exchange() {
+    let mut altered = Altered::new(|_: Time, _: &EventsByProxy, out: &mut Vec<(usize, CallEffect)>| {
+        // All set-ups of a tick go where the first of them goes.
+        let first_target = out.iter().find_map(|(_, c)| match c {
+            CallEffect::Exchange(exchange_id, _, ExchangeCommand::SetUp(_)) => Some(*exchange_id),
             _ => None,
         });
         for (_, command) in out.iter_mut() {
-            if let (CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)), Some(office)) = (command, office)
+            if let (CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)), Some(exchange_id)) =
+                (command, first_target)
             {
-                *to = office;
+                *to = exchange_id;
             }
         }
     });
-    breaks(&play(&scenario(10, BUSY), 1, &mut rogue), Rule::Route);
+    assert_violation(&simulate(&scenario(10, BUSY), 1, &mut altered), Rule::Route);
 }
--- a/crates/lab/tests/twin.rs
+++ b/crates/lab/tests/twin.rs
@@ -1,4 +1,4 @@
-//! One build driven in two ways decides alike: by the call table, and over the simulator's wire.
+//! The call table used as a library and the same build behind the simulator's protocol make the same decisions.
 
 mod common;
 
@@ -13,8 +13,8 @@
 use mallowring_lab::traffic::generate;
 use mallowring_lab::world::run;
 
-/// The adapter of the root package, built beside this test.
-fn drill() -> PathBuf {
+/// Builds the simulator adapter of the root package and returns its path.
+fn built_adapter() -> PathBuf {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
     let built = Command::new(cargo)
@@ -22,15 +22,15 @@
         .current_dir(root)
         .status();
     assert!(built.is_ok_and(|status| status.success()), "the adapter builds");
-    // This test stands in target/PROFILE/deps; the adapter was built with the dev profile.
-    let here = std::env::current_exe().expect("this test is a file");
-    let target = here.ancestors().nth(3).expect("target/PROFILE/deps/test");
+    // This test's binary is in target/PROFILE/deps; the adapter was built with the dev profile.
+    let test_binary = std::env::current_exe().expect("this test is a file");
+    let target = test_binary.ancestors().nth(3).expect("target/PROFILE/deps/test");
     target.join("debug").join("mallowring-drill")
 }
 
 #[test]
-fn the_table_and_the_wire_decide_alike() {
-    let program = drill();
+fn call_table_and_protocol_decide_alike() {
+    let program = built_adapter();
     let troubles = [
         "[load]\noffered = 1.3\n",
         "[[trouble]]\nkind = \"crash\"\nat = 3\nback_s = 3\n",
@@ -41,13 +41,13 @@
     for trouble in troubles {
         let s = scenario(9, trouble);
         let day = Day::draw(&s, 3);
-        let wire = ExternalProgram::start(
+        let external = ExternalProgram::start(
             "drill",
             &[program.to_string_lossy().into_owned()],
             Duration::from_secs(60),
         );
-        let wire = wire.expect("it starts");
-        let mut twin = Twin::new(Shipped::new(Tuning::default()), wire);
+        let external = external.expect("the adapter starts");
+        let mut twin = Twin::new(Shipped::new(Tuning::default()), external);
         run(&day, &generate(&day), &mut twin, 0).expect("both answer");
         assert!(twin.decisions > 200, "{}", twin.decisions);
         assert_eq!(twin.differences, vec![], "{trouble}");
