--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -393,7 +393,10 @@
             let mut seats = Capturing::new(Tuning::default());
             let result = run(&day, &generate(&day), &mut seats, 0)?;
             let Some(entries) = seats.captures.remove(&proxy) else {
-                return Err(LabError::Argument(format!("--proxy {proxy}: the day has {} proxies", day.n)));
+                return Err(LabError::Argument(format!(
+                    "--proxy {proxy}: the day has {} proxies",
+                    day.exchange_count
+                )));
             };
             let bytes = captures::write(&out, &entries)?;
             say(&format!("{} entries, {bytes} bytes in {}", entries.len(), out.display()));
@@ -414,7 +417,7 @@
             let day = Day::draw(&scenario, seed);
             let callers = generate(&day);
             recorded::write(&out, &day, &callers)?;
-            say(&format!("{} calls of {} exchanges in {}", callers.len(), day.n, out.display()));
+            say(&format!("{} calls of {} exchanges in {}", callers.len(), day.exchange_count, out.display()));
             Ok(true)
         }
         Task::Check { scenarios } => {
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -38,9 +38,9 @@
     /// Time from a cold start to full capacity, µs.
     pub cold_us: f64,
     /// Window over which the rule on cold processors counts set-ups, µs.
-    pub fall_us: Us,
+    pub cold_failure_window_us: Us,
     /// Multiple of the present capacity at which a cold processor fails.
-    pub fall_multiple: f64,
+    pub cold_failure_multiple: f64,
 }
 
 impl ProcessorParameters {
@@ -155,7 +155,7 @@
     /// Seed of all random draws.
     pub seed: u64,
     /// Number of exchanges.
-    pub n: usize,
+    pub exchange_count: usize,
     /// Names of the regions.
     pub regions: Vec<String>,
     /// Index of each exchange's region.
@@ -227,18 +227,18 @@
     /// Draws the day of a seed.
     pub fn draw(scenario: &Scenario, seed: u64) -> Day {
         let rng = &mut stream(seed, Purpose::Day, 0);
-        let n = (scenario.fleet.exchanges.draw(rng).round() as usize).max(2);
+        let exchange_count = (scenario.fleet.exchanges.draw(rng).round() as usize).max(2);
         let regions = scenario.fleet.regions.clone();
-        let region: Vec<usize> = (0..n).map(|x| x % regions.len()).collect();
+        let region: Vec<usize> = (0..exchange_count).map(|x| x % regions.len()).collect();
         let (same, cross) = (scenario.fleet.same_ms.draw(rng), scenario.fleet.cross_ms);
         // One transmission time per pair of regions, which all their exchanges share.
         let between_regions: Vec<f64> = (0..regions.len() * regions.len()).map(|_| cross.draw(rng)).collect();
-        let mut transmission_us = vec![0.0; n * n];
-        for a in 0..n {
-            for b in 0..n {
+        let mut transmission_us = vec![0.0; exchange_count * exchange_count];
+        for a in 0..exchange_count {
+            for b in 0..exchange_count {
                 let (low, high) = (region[a].min(region[b]), region[a].max(region[b]));
                 let ms = if low == high { same } else { between_regions[low * regions.len() + high] };
-                transmission_us[a * n + b] = ms * 1000.0;
+                transmission_us[a * exchange_count + b] = ms * 1000.0;
             }
         }
         let classes = draw_classes(scenario, rng);
@@ -258,10 +258,10 @@
         let erlangs = scenario.groups.erlangs.draw(rng);
         let calls = erlangs / circuit_s;
         let plan = draw_plan(scenario, &region, calls, rng);
-        let groups = draw_groups(scenario, n, &plan, circuit_s, rng);
+        let groups = draw_groups(scenario, exchange_count, &plan, circuit_s, rng);
         let plan_error_cv = scenario.groups.plan_error_cv.draw(rng);
         let mut rates: Vec<f64> = plan.iter().map(|r| r * lognormal(rng, 1.0, plan_error_cv)).collect();
-        scale(&mut rates, calls * n as f64);
+        scale(&mut rates, calls * exchange_count as f64);
         let end = us(scenario.seconds.draw(rng));
         let (drift, drift_span) = draw_drift(scenario, &rates, end, rng);
         let bursts = draw_bursts(scenario, end, rng);
@@ -278,12 +278,12 @@
             work: ranges.work,
             cold_from: ranges.cold_from.draw(rng),
             cold_us: ranges.cold_s.draw(rng) * SECOND as f64,
-            fall_us: us(rules.cold_failure_window_ms.draw(rng) / 1000.0),
-            fall_multiple: rules.cold_failure_multiple.draw(rng),
+            cold_failure_window_us: us(rules.cold_failure_window_ms.draw(rng) / 1000.0),
+            cold_failure_multiple: rules.cold_failure_multiple.draw(rng),
         };
         // At planned load each exchange sends and receives `calls` calls per second, all routed direct.
         processor.set_up_us = ranges.busy.draw(rng) / (calls * processor.direct()) * SECOND as f64;
-        let quota = calls * n as f64 * rules.quota.draw(rng);
+        let quota = calls * exchange_count as f64 * rules.quota.draw(rng);
         let shares_and_usages: Vec<(f64, f64)> =
             scenario.tenants.iter().map(|t| (t.share.draw(rng), t.usage.draw(rng))).collect();
         let all: f64 = shares_and_usages.iter().map(|(share, usage)| share * usage).sum();
@@ -297,7 +297,7 @@
         let ms = |x: f64| us(x / 1000.0);
         let mut day = Day {
             seed,
-            n,
+            exchange_count,
             regions,
             region,
             end,
@@ -342,7 +342,7 @@
 
     /// Draws a trouble's values and exchanges.
     fn draw_trouble(&mut self, trouble: &Trouble, rng: &mut Pcg64) {
-        let n = self.n;
+        let n = self.exchange_count;
         let select = |selection: Option<&ExchangeSelection>, rng: &mut Pcg64| match selection {
             None => (0..n).collect(),
             Some(ExchangeSelection::Listed(list)) => list.clone(),
@@ -436,12 +436,12 @@
                 "parallel_tries": false, "peers": false, "probing": false,
                 "retry_after": self.longest_cool_down_s > 0.0},
             "my_number": exchange,
-            "n_instances": self.n,
+            "n_instances": self.exchange_count,
             "over_share_worth": self.over_share_worth,
             "prices": {"late_fail": 0.03, "probe": 0.0, "waste": 0.02},
             "rules": {"answer_slack": s(self.answer_slack), "ask_every": 10.0, "cold_from": self.processor.cold_from,
-                "drain_grace": s(self.drain_grace), "fall": s(self.processor.fall_us),
-                "fall_multiple": self.processor.fall_multiple, "warm_within": self.processor.cold_us / SECOND as f64},
+                "drain_grace": s(self.drain_grace), "fall": s(self.processor.cold_failure_window_us),
+                "fall_multiple": self.processor.cold_failure_multiple, "warm_within": self.processor.cold_us / SECOND as f64},
             "telemetry": {"fields": ["idle", "circuits", "reduce", "avg_ms"], "how": "piggyback"},
             "tenants": self.tenants.iter().map(tenant).collect::<Vec<_>>(),
             "tick": s(self.tick),
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -15,7 +15,7 @@
     /// One caller: class, holding time and behaviour.
     Caller,
     /// Transmission times.
-    Flight,
+    Transmission,
     /// Noise of load measurements.
     Report,
     /// Delays of roster updates.
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -92,8 +92,8 @@
         work: WorkTime::Exponential,
         cold_from: 1.0,
         cold_us: 1.0,
-        fall_us: SECOND,
-        fall_multiple: 1e9,
+        cold_failure_window_us: SECOND,
+        cold_failure_multiple: 1e9,
     }
 }
 
--- a/crates/lab/src/study/verify.rs
+++ b/crates/lab/src/study/verify.rs
@@ -275,7 +275,7 @@
             let day = Day::draw(&scenario, seed);
             let mut seats = Watched {
                 inner: Shipped::new(tuning.clone()),
-                last: vec![vec![0; day.n]; day.n],
+                last: vec![vec![0; day.exchange_count]; day.exchange_count],
                 moves: [[0; 5]; 5],
                 spent: [0; 5],
             };
--- a/crates/lab/src/traffic/mod.rs
+++ b/crates/lab/src/traffic/mod.rs
@@ -75,7 +75,7 @@
 /// pair's time-dependent rate (thinning, Lewis and Shedler 1979).
 pub fn generate(day: &Day) -> Vec<Caller> {
     let mut arrivals: Vec<(Us, usize, usize)> = Vec::new();
-    let n = day.n;
+    let n = day.exchange_count;
     let steps = (day.end / (SECOND / 10) + 1) as usize;
     let peak = (0..steps).map(|s| rate_factor(day, s as Us * (SECOND / 10))).fold(1.0, f64::max) * 1.02;
     for origin in 0..n {
--- a/crates/lab/src/traffic/recorded.rs
+++ b/crates/lab/src/traffic/recorded.rs
@@ -63,7 +63,7 @@
         let tenant = day.tenants.iter().position(|t| t.name == line.tenant);
         let tenant =
             tenant.ok_or_else(|| invalid(format!("tenant '{}' is not in the scenario", line.tenant)))?;
-        if line.origin >= day.n || line.dest >= day.n || line.origin == line.dest {
+        if line.origin >= day.exchange_count || line.dest >= day.exchange_count || line.origin == line.dest {
             return Err(invalid(format!("no call goes from exchange {} to {}", line.origin, line.dest)));
         }
         if !(line.at_s.is_finite() && line.at_s >= 0.0) || line.hold_s.is_some_and(|h| !(h > 0.0 && h < 1e6))
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -150,7 +150,7 @@
     /// The tandem that the centre advises: the exchange with the most free circuits on the smaller of its two groups.
     fn advice(&self, origin: usize, dest: usize) -> Option<usize> {
         let (_, free) = self.surveys.iter().rev().find(|(available_at, _)| *available_at <= self.now)?;
-        let n = self.day.n;
+        let n = self.day.exchange_count;
         let free_via = |x: usize| free[self.group_of[origin * n + x]].min(free[self.group_of[x * n + dest]]);
         let tandems = (0..n).filter(|x| *x != origin && *x != dest);
         tandems.max_by_key(|x| (free_via(*x), std::cmp::Reverse(*x))).filter(|x| free_via(*x) > 0)
--- a/crates/lab/src/world/exchange.rs
+++ b/crates/lab/src/world/exchange.rs
@@ -44,7 +44,7 @@
     /// Publishes a roster update at `published_at`; each proxy receives it after a delay of its own.
     pub(super) fn publish_roster_update(&mut self, published_at: Us, entry: RosterEntry) {
         let update = self.roster_updates.len();
-        for proxy in 0..self.day.n {
+        for proxy in 0..self.day.exchange_count {
             let delay = noise(self.day.seed, update as u64, proxy as u64) * self.day.roster_spread as f64;
             self.queue.schedule(published_at + delay as Us, Event::RosterUpdate { proxy, update });
         }
@@ -137,8 +137,8 @@
 
     /// Sends the status of all groups of an exchange to both of their ends.
     pub(super) fn report_groups(&mut self, exchange: usize) {
-        for far in (0..self.day.n).filter(|x| *x != exchange) {
-            let group = self.group_of[exchange * self.day.n + far];
+        for far in (0..self.day.exchange_count).filter(|x| *x != exchange) {
+            let group = self.group_of[exchange * self.day.exchange_count + far];
             self.group_changed(group);
         }
     }
--- a/crates/lab/src/world/flow.rs
+++ b/crates/lab/src/world/flow.rs
@@ -201,7 +201,7 @@
         self.ends.attempts += 1;
         let leg = self.legs.len() as LegIx;
         let c = &self.callers[self.requests[ix as usize].caller as usize];
-        let group = self.group_of.get(proxy * day.n + to).copied().unwrap_or(usize::MAX);
+        let group = self.group_of.get(proxy * day.exchange_count + to).copied().unwrap_or(usize::MAX);
         self.legs.push(Leg {
             request: ix,
             number: set_up.leg,
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -257,7 +257,7 @@
 
 impl<'a> Simulation<'a> {
     fn new(day: &'a Day, callers: &'a [Caller], fleet: &'a mut dyn ProxyFleet, salt: u64) -> Self {
-        let n = day.n;
+        let n = day.exchange_count;
         let mut group_of = vec![usize::MAX; n * n];
         let groups: Vec<Group> = day.groups.iter().map(|(ends, size)| Group::new(*ends, *size)).collect();
         for (ix, group) in groups.iter().enumerate() {
@@ -309,14 +309,14 @@
 
     /// Schedules the callers, periodic events and troubles, and starts the processors and proxies.
     fn start_day(&mut self) -> Result<(), LabError> {
-        for exchange in 0..self.day.n {
+        for exchange in 0..self.day.exchange_count {
             let exchange_id = self.new_exchange_id(exchange);
             self.processors.push(Processor::new(exchange_id, self.day.processor, None));
             let entry = self.roster_entry(exchange, exchange_id, ServiceState::InService, None);
             self.roster_updates.push((0, entry));
             self.schedule_periodic(self.day.report_period, Event::MeasureLoad(exchange));
         }
-        for proxy in 0..self.day.n {
+        for proxy in 0..self.day.exchange_count {
             self.start_proxy(proxy)?;
         }
         if self.day.centre.is_some() {
@@ -396,7 +396,7 @@
             self.rule_monitor.note_unavailable(proxy, entry.id, self.now);
         }
         self.deliver(proxy, CallEvent::Roster { full: true, entries: roster_entries });
-        for far in (0..self.day.n).filter(|x| *x != proxy) {
+        for far in (0..self.day.exchange_count).filter(|x| *x != proxy) {
             let event = self.status(proxy, far);
             self.deliver(proxy, event);
         }
@@ -496,7 +496,7 @@
 
     /// The status event of the group between a proxy's exchange and a far one.
     fn status(&self, proxy: usize, far: usize) -> CallEvent {
-        let group = &self.groups[self.group_of[proxy * self.day.n + far]];
+        let group = &self.groups[self.group_of[proxy * self.day.exchange_count + far]];
         let report = LoadReport {
             free_circuits: Some(f64::from(group.free())),
             group_size: Some(f64::from(group.working)),
@@ -509,7 +509,7 @@
 
     /// Arrival time of a message sent now. Messages in one direction between two exchanges keep their order.
     fn arrival(&mut self, from: usize, to: usize) -> Us {
-        let direction = from * self.day.n + to;
+        let direction = from * self.day.exchange_count + to;
         let spread = 2.0 * noise(self.day.seed, direction as u64, self.now) - 1.0;
         let transmission_us = self.day.transmission_us[direction] * (1.0 + self.day.jitter * spread);
         let at = (self.now + transmission_us.max(0.0) as Us).max(self.last_arrivals[direction]);
--- a/crates/lab/src/world/processor.rs
+++ b/crates/lab/src/world/processor.rs
@@ -166,14 +166,14 @@
         if !self.is_cold(now) || self.parameters.set_up_us <= 0.0 {
             return false;
         }
-        let window_start = now.saturating_sub(self.parameters.fall_us);
+        let window_start = now.saturating_sub(self.parameters.cold_failure_window_us);
         while self.cold_set_ups.front().is_some_and(|at| *at < window_start) {
             self.cold_set_ups.pop_front();
         }
         self.cold_set_ups.push_back(now);
-        let window = self.parameters.fall_us as f64;
+        let window = self.parameters.cold_failure_window_us as f64;
         let capacity = window / (self.parameters.set_up_us * self.slowdown) * self.capacity(now);
-        self.cold_set_ups.len() as f64 > self.parameters.fall_multiple * capacity + COLD_SLACK_SET_UPS
+        self.cold_set_ups.len() as f64 > self.parameters.cold_failure_multiple * capacity + COLD_SLACK_SET_UPS
     }
 
     /// Index of a task's queue.
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -134,9 +134,9 @@
     /// Samples the state of the fleet.
     pub(super) fn sample(&mut self) {
         let (used, size) = self.groups.iter().fold((0, 0), |(u, s), g| (u + g.used, s + g.size));
-        let n = self.day.n as f64;
+        let n = self.day.exchange_count as f64;
         let waits: f64 = self.processors.iter().map(|p| p.wait(self.now)).sum();
-        let levels = (0..self.day.n).filter_map(|p| self.fleet.levels(p));
+        let levels = (0..self.day.exchange_count).filter_map(|p| self.fleet.levels(p));
         let (own, far) = levels.fold((0, 0), |(own, far), l| {
             (own + l.own, far + l.far.iter().map(|(_, level)| *level).max().unwrap_or(0))
         });
@@ -192,14 +192,14 @@
         self.samples.truncate(seconds + 1);
         DayResult {
             seed: self.day.seed,
-            exchanges: self.day.n,
+            exchanges: self.day.exchange_count,
             calls,
             service,
             figure_unruled,
             waits: self.set_up_delays.quantiles(),
             tandem_share: tandems as f64 / established.max(1) as f64,
             sends_per_call: self.ends.attempts as f64 / calls.max(1) as f64,
-            busy: busy / self.day.n as f64 / self.day.end.max(1) as f64,
+            busy: busy / self.day.exchange_count as f64 / self.day.end.max(1) as f64,
             ends: self.ends,
             samples: self.samples,
             broken_rules: self.rule_monitor.count,
--- a/crates/lab/tests/capture.rs
+++ b/crates/lab/tests/capture.rs
@@ -141,8 +141,8 @@
         }
     };
     let entries: Vec<Entry> = (0..5000).map(entry).collect();
-    let capture = read_capture(&encode(&entries)).expect("the capture is complete").entries;
-    assert_eq!(capture.iter().map(|e| e.seq).collect::<Vec<_>>(), (0..5000).collect::<Vec<_>>());
+    let decoded = read_capture(&encode(&entries)).expect("the capture is complete").entries;
+    assert_eq!(decoded.iter().map(|e| e.seq).collect::<Vec<_>>(), (0..5000).collect::<Vec<_>>());
     let bits = |entries: &[Entry]| -> Vec<u64> {
         let wait = |e: &Entry| match &e.kind {
             EntryKind::Event(CallEvent::Status { report, .. }) => {
@@ -152,5 +152,5 @@
         };
         entries.iter().map(wait).collect()
     };
-    assert_eq!(bits(&entries), bits(&capture));
+    assert_eq!(bits(&entries), bits(&decoded));
 }
