--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -279,7 +279,7 @@
                 "mallowring-lab: {arm}, seed {}: {} broken rules, so the day counts 0; the first:",
                 day.seed, day.broken_rules
             );
-            for b in day.broken.iter().take(3) {
+            for b in day.violations.iter().take(3) {
                 let proxy = b.proxy.map_or(String::new(), |p| format!(" proxy {p}"));
                 let call = b.call.as_ref().map_or(String::new(), |c| format!(" call {c}"));
                 eprintln!("  at {:.3} s{proxy}{call}: {:?}: {}", b.at_s, b.rule, b.what);
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -31,13 +31,13 @@
 }
 
 /// Distance between the streams of consecutive indexes, in draws.
-const BLOCK: u128 = 1 << 40;
+const DRAWS_PER_INDEX: u128 = 1 << 40;
 
 /// The stream of a purpose and index: PCG XSL RR 128/64 (O'Neill 2014), advanced to the index's own block.
 pub fn stream(seed: u64, purpose: Purpose, index: u64) -> Pcg64 {
     let mut rng =
         Pcg64::seed_from_u64(seed.rotate_left(17) ^ (purpose as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    rng.advance(u128::from(index) * BLOCK);
+    rng.advance(u128::from(index) * DRAWS_PER_INDEX);
     rng
 }
 
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -45,7 +45,7 @@
     /// Roster updates to the proxies.
     #[serde(default)]
     pub roster: Roster,
-    /// The centre that advises a tandem for each call.
+    /// The centre that advises a tandem for each call; without a centre, requests carry no advice.
     #[serde(default = "centre")]
     pub centre: Option<Centre>,
     /// Behaviour of the callers.
--- a/crates/lab/src/traffic/recorded.rs
+++ b/crates/lab/src/traffic/recorded.rs
@@ -54,26 +54,25 @@
     let file_error = |e: csv::Error| LabError::File { path: path.to_owned(), source: e.into() };
     let mut reader = csv::Reader::from_path(path).map_err(file_error)?;
     let mut callers = Vec::new();
-    for (ix, line) in reader.deserialize::<Record>().enumerate() {
+    for (ix, row) in reader.deserialize::<Record>().enumerate() {
         let record = ix as u64 + 1;
         let invalid = |what: String| LabError::Traffic { path: path.to_owned(), record, what };
-        let line = line.map_err(|e| invalid(e.to_string()))?;
-        let class = day.classes.iter().position(|c| c.name == line.class);
-        let class = class.ok_or_else(|| invalid(format!("class '{}' is not in the scenario", line.class)))?;
-        let tenant = day.tenants.iter().position(|t| t.name == line.tenant);
+        let row = row.map_err(|e| invalid(e.to_string()))?;
+        let class = day.classes.iter().position(|c| c.name == row.class);
+        let class = class.ok_or_else(|| invalid(format!("class '{}' is not in the scenario", row.class)))?;
+        let tenant = day.tenants.iter().position(|t| t.name == row.tenant);
         let tenant =
-            tenant.ok_or_else(|| invalid(format!("tenant '{}' is not in the scenario", line.tenant)))?;
-        if line.origin >= day.exchange_count || line.dest >= day.exchange_count || line.origin == line.dest {
-            return Err(invalid(format!("no call goes from exchange {} to {}", line.origin, line.dest)));
+            tenant.ok_or_else(|| invalid(format!("tenant '{}' is not in the scenario", row.tenant)))?;
+        if row.origin >= day.exchange_count || row.dest >= day.exchange_count || row.origin == row.dest {
+            return Err(invalid(format!("no call goes from exchange {} to {}", row.origin, row.dest)));
         }
-        if !(line.at_s.is_finite() && line.at_s >= 0.0) || line.hold_s.is_some_and(|h| !(h > 0.0 && h < 1e6))
-        {
+        if !(row.at_s.is_finite() && row.at_s >= 0.0) || row.hold_s.is_some_and(|h| !(h > 0.0 && h < 1e6)) {
             return Err(invalid("want a time of 0 or above, and a holding time above 0".to_owned()));
         }
         let rng = &mut stream(day.seed, Purpose::Caller, ix as u64);
-        let mut c = caller(day, rng, us(line.at_s), line.origin, line.dest);
-        (c.class, c.tenant, c.number, c.width) = (class, tenant, line.number, day.classes[class].width);
-        c.hold = line.hold_s.map_or(c.hold, us).max(1);
+        let mut c = caller(day, rng, us(row.at_s), row.origin, row.dest);
+        (c.class, c.tenant, c.number, c.width) = (class, tenant, row.number, day.classes[class].width);
+        c.hold = row.hold_s.map_or(c.hold, us).max(1);
         callers.push(c);
     }
     callers.sort_by_key(|c| c.at);
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -114,7 +114,8 @@
     /// Number of rule violations.
     pub broken_rules: u64,
     /// The first violations of each rule.
-    pub broken: Vec<Violation>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
     /// Circuits, jobs and requests left over at the end; each is a fault of the model.
     pub leaks: Vec<String>,
     /// Both sides of Little's law for established calls: their mean number, and rate times mean holding time.
@@ -203,7 +204,7 @@
             ends: self.ends,
             samples: self.samples,
             broken_rules: self.rule_monitor.count,
-            broken: self.rule_monitor.broken,
+            violations: self.rule_monitor.violations,
             leaks,
             littles_law: [self.established_us / span, rate * mean],
             events: self.events_handled,
--- a/crates/lab/src/world/rules.rs
+++ b/crates/lab/src/world/rules.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 pub struct RuleMonitor {
     /// The first violations of each rule.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// Number of all violations.
     pub count: u64,
     /// When each proxy first received the update that an exchange drains or is removed.
@@ -68,9 +68,9 @@
         what: &str,
     ) {
         self.count += 1;
-        if self.broken.iter().filter(|b| b.rule == rule).count() < MAX_KEPT_PER_RULE {
+        if self.violations.iter().filter(|v| v.rule == rule).count() < MAX_KEPT_PER_RULE {
             let at_s = now as f64 / SECOND as f64;
-            self.broken.push(Violation { rule, at_s, proxy, call, what: what.to_owned() });
+            self.violations.push(Violation { rule, at_s, proxy, call, what: what.to_owned() });
         }
     }
 
--- a/crates/lab/src/world/trouble.rs
+++ b/crates/lab/src/world/trouble.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Carries out a step of a trouble.
     pub(super) fn apply_trouble(&mut self, step: Step) -> Result<(), LabError> {
         match step {
             Step::Drain(x) if self.processors[x].state == RunState::Running => {
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -20,14 +20,14 @@
 
 #[track_caller]
 fn assert_violation(day: &DayResult, rule: Rule) {
-    assert!(day.broken.iter().any(|b| b.rule == rule), "{rule:?} is not among {:?}", day.broken);
+    assert!(day.violations.iter().any(|b| b.rule == rule), "{rule:?} is not among {:?}", day.violations);
     assert_eq!(day.service.figure, 0.0, "a broken rule sets the score to 0");
 }
 
 #[test]
 fn a_policy_without_control_breaks_no_rule() {
     let day = simulate(&scenario(10, BUSY), 1, &mut Direct::default());
-    assert_eq!(day.broken, vec![]);
+    assert_eq!(day.violations, vec![]);
     assert_eq!(day.leaks, Vec::<String>::new());
 }
 
@@ -50,7 +50,7 @@
     let day = simulate(&scenario(10, BUSY), 1, &mut altered);
     assert_violation(&day, Rule::FinalAnswer);
     assert!(day
-        .broken
+        .violations
         .iter()
         .all(|b| b.what == "no final answer in time" && b.call.is_some() && b.proxy.is_some()));
 }
@@ -104,7 +104,7 @@
 #[test]
 fn one_attempt_too_many() {
     let four = simulate(&scenario(10, BUSY), 1, &mut Altered::new(retry_up_to(4)));
-    assert!(!four.broken.iter().any(|b| b.rule == Rule::OneAttempt), "{:?}", four.broken);
+    assert!(!four.violations.iter().any(|b| b.rule == Rule::OneAttempt), "{:?}", four.violations);
     assert_violation(&simulate(&scenario(10, BUSY), 1, &mut Altered::new(retry_up_to(5))), Rule::OneAttempt);
 }
 
@@ -133,7 +133,7 @@
     let day = simulate(&scenario(10, replace), 1, &mut Direct::default());
     assert_violation(&day, Rule::Drains);
     // The drain begins at 2 s, its roster update arrives up to 2.6 s later, and set-ups may go on for 0.5 s.
-    let first = day.broken.iter().find(|b| b.rule == Rule::Drains).map(|b| b.at_s);
+    let first = day.violations.iter().find(|b| b.rule == Rule::Drains).map(|b| b.at_s);
     assert!(first.is_some_and(|at| at > 2.5), "{first:?}");
 }
 
--- a/crates/lab/tests/world.rs
+++ b/crates/lab/tests/world.rs
@@ -10,7 +10,7 @@
 
 fn assert_consistent(day: &DayResult) {
     assert_eq!(day.leaks, Vec::<String>::new());
-    assert_eq!(day.broken, vec![], "{:?}", day.broken);
+    assert_eq!(day.violations, vec![], "{:?}", day.violations);
 }
 
 #[test]
@@ -59,7 +59,7 @@
             for seed in 1..3 {
                 let day = shipped(&s, seed);
                 assert_eq!(day.leaks, Vec::<String>::new(), "{one} and {other}, seed {seed}");
-                assert_eq!(day.broken, vec![], "{one} and {other}, seed {seed}");
+                assert_eq!(day.violations, vec![], "{one} and {other}, seed {seed}");
             }
         }
     }
@@ -124,8 +124,8 @@
                 at = 2\nseconds = 1\nexchanges = [1]\ndrain_s = 0.5\n";
     let s = scenario(20, text);
     let day = simulate(&s, 1, &mut Direct::default());
-    let cold: Vec<_> = day.broken.iter().filter(|b| b.what.contains("pushed over")).collect();
-    assert_eq!(cold.len(), 1, "it fails once and stays down: {:?}", day.broken);
+    let cold: Vec<_> = day.violations.iter().filter(|b| b.what.contains("pushed over")).collect();
+    assert_eq!(cold.len(), 1, "it fails once and stays down: {:?}", day.violations);
     assert_eq!(day.service.figure, 0.0, "a broken rule sets the score to 0");
     // Calls to it fail until the end of the day.
     let last: Vec<_> = day.service.seconds[15..].iter().collect();
