--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -3,7 +3,7 @@
 mod common;
 use std::sync::Arc;
 
-use common::{office, settings};
+use common::{roster_entry, settings};
 use mallowring::calls::tenants::{Change, Tenant, Tenants};
 use mallowring::calls::{
     CallEffect, CallEvent, CallTimer, CallerCommand, ExchangeCommand, Front, RejectReason, Request, Table,
@@ -24,12 +24,12 @@
             table: Table::new(Settings { max_attempts: 4, ..settings() }, tenants, 7, Time(1000.0)),
             now: 1000.0,
         };
-        core.put(CallEvent::Roster { full: true, entries: (0..5).map(office).collect() });
+        core.put(CallEvent::Roster { full: true, entries: (0..5).map(roster_entry).collect() });
         assert!(!core.table.informed(), "no state is in");
         let report =
             LoadReport { free_circuits: Some(30.0), group_size: Some(30.0), ..LoadReport::default() };
         for number in 1..5 {
-            core.put(CallEvent::Status { exchange: office(number).id, report });
+            core.put(CallEvent::Status { exchange: roster_entry(number).id, report });
         }
         assert!(core.table.informed());
         core
@@ -232,7 +232,7 @@
     let started = Time(core.now + 1.0);
     core.now += 2.0;
     core.standing("new");
-    let line = RosterEntry { ready_at: Some(started), ..office(3) };
+    let line = RosterEntry { ready_at: Some(started), ..roster_entry(3) };
     let out = core.put(CallEvent::Roster { full: false, entries: vec![line] });
     assert_eq!(nears(&out), [CallerCommand::Release { completed: false }]);
     assert_eq!(core.table.standing(), 1);
@@ -300,7 +300,7 @@
 fn exchanges_that_are_gone_are_forgotten() {
     let mut core = Core::new();
     for n in 0..1000 {
-        let fresh = RosterEntry { id: ExchangeId(1000 + n), ..office(3) };
+        let fresh = RosterEntry { id: ExchangeId(1000 + n), ..roster_entry(3) };
         core.put(CallEvent::Roster { full: false, entries: vec![fresh.clone()] });
         core.put(CallEvent::Status { exchange: fresh.id, report: LoadReport::default() });
         let gone = RosterEntry { state: ServiceState::Removed, ..fresh };
@@ -357,14 +357,14 @@
 fn a_group_whose_state_is_not_told_any_longer_is_tried() {
     let mut core = Core::new();
     let full = LoadReport { free_circuits: Some(0.0), group_size: Some(30.0), ..LoadReport::default() };
-    (1..5).for_each(|n| drop(core.put(CallEvent::Status { exchange: office(n).id, report: full })));
+    (1..5).for_each(|n| drop(core.put(CallEvent::Status { exchange: roster_entry(n).id, report: full })));
     assert!(matches!(
         nears(&core.put(CallEvent::Request(core.request("a"))))[..],
         [CallerCommand::Refuse(_)]
     ));
-    core.put(CallEvent::StatusLost(office(3).id));
+    core.put(CallEvent::StatusLost(roster_entry(3).id));
     let out = core.put(CallEvent::Request(core.request("b")));
-    assert!(out
-        .iter()
-        .any(|c| matches!(c, CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)) if *to == office(3).id)));
+    assert!(out.iter().any(
+        |c| matches!(c, CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)) if *to == roster_entry(3).id)
+    ));
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A small bench for one controller: settings, offices and calls made by hand.
+//! A small harness for one controller: settings, offices and calls made by hand.
 #![allow(dead_code)]
 
 use mallowring::interface::*;
 use mallowring::Controller;
 
-pub const OWN: i64 = 0;
+pub const OWN_NUMBER: i64 = 0;
 
 pub fn class(worth: f64, width: u32) -> Class {
     Class {
@@ -25,7 +25,7 @@
     Settings {
         classes: vec![class(1.0, 1), class(3.0, 4)],
         proxies: 4,
-        own_exchange: Some(ExchangeNumber(OWN)),
+        own_exchange: Some(ExchangeNumber(OWN_NUMBER)),
         service_kind: ServiceKind::Network,
         discovery: Discovery::Pushed,
         load_reporting: LoadReporting::Piggybacked,
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn office(number: i64) -> RosterEntry {
+pub fn roster_entry(number: i64) -> RosterEntry {
     RosterEntry {
         id: ExchangeId(100 + number as u64),
         zone: "z".into(),
@@ -62,52 +62,54 @@
     }
 }
 
-pub fn id_of(number: i64) -> ExchangeId {
-    office(number).id
+pub fn exchange_id(number: i64) -> ExchangeId {
+    roster_entry(number).id
 }
 
-pub struct Bench {
+pub struct ControllerHarness {
     pub controller: Controller,
     pub now: f64,
     calls: u32,
 }
 
-impl Bench {
+impl ControllerHarness {
     /// A controller that has heard of exchanges 0 to 4, with 30 free circuits to each.
     pub fn new(settings: Settings) -> Self {
-        Bench::seeded(settings, 7)
+        ControllerHarness::with_seed(settings, 7)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let mut bench = Bench { controller: Controller::new(settings, seed), now: 1000.0, calls: 0 };
-        bench.controller.start(Time(bench.now), &mut Vec::new());
-        bench.event(Event::Roster { kind: RosterKind::Saved, entries: (0..5).map(office).collect() });
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
+        let mut harness =
+            ControllerHarness { controller: Controller::new(settings, seed), now: 1000.0, calls: 0 };
+        harness.controller.start(Time(harness.now), &mut Vec::new());
+        harness
+            .handle(Event::Roster { kind: RosterKind::Saved, entries: (0..5).map(roster_entry).collect() });
         for number in 1..5 {
-            bench.circuits(number, 30.0, 30.0);
+            harness.report_circuits(number, 30.0, 30.0);
         }
-        bench
+        harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(Time(self.now), event, &mut out);
         out
     }
 
-    pub fn list(&mut self, kind: RosterKind, offices: Vec<RosterEntry>) -> Vec<Action> {
-        self.event(Event::Roster { kind, entries: offices })
+    pub fn update_roster(&mut self, kind: RosterKind, offices: Vec<RosterEntry>) -> Vec<Action> {
+        self.handle(Event::Roster { kind, entries: offices })
     }
 
-    pub fn circuits(&mut self, number: i64, free: f64, size: f64) {
+    pub fn report_circuits(&mut self, number: i64, free: f64, size: f64) {
         let report =
             LoadReport { free_circuits: Some(free), group_size: Some(size), ..LoadReport::default() };
-        self.event(Event::Status { exchange: id_of(number), ok: true, elapsed: 0.0, report });
+        self.handle(Event::Status { exchange: exchange_id(number), ok: true, elapsed: 0.0, report });
     }
 
     /// A report of the wait at a far processor, as a probe would bring it.
-    pub fn wait(&mut self, number: i64, wait: f64) {
+    pub fn report_wait(&mut self, number: i64, wait: f64) {
         let report = LoadReport { queueing_delay: Some(wait), ..LoadReport::default() };
-        self.event(Event::Status { exchange: id_of(number), ok: true, elapsed: 0.01, report });
+        self.handle(Event::Status { exchange: exchange_id(number), ok: true, elapsed: 0.01, report });
     }
 
     pub fn arrival(&mut self, dest: i64) -> Arrival {
@@ -126,16 +128,16 @@
         }
     }
 
-    pub fn call(&mut self, dest: i64) -> (CallId, Vec<Action>) {
+    pub fn place_call(&mut self, dest: i64) -> (CallId, Vec<Action>) {
         let arrival = self.arrival(dest);
-        (arrival.id.clone(), self.event(Event::Arrival(arrival)))
+        (arrival.id.clone(), self.handle(Event::Arrival(arrival)))
     }
 
-    pub fn stands(&mut self, id: &CallId, leg: u32, number: i64, took: f64) -> Vec<Action> {
-        self.event(Event::Established { id: id.clone(), leg, exchange: id_of(number), elapsed: took })
+    pub fn establish(&mut self, id: &CallId, leg: u32, number: i64, took: f64) -> Vec<Action> {
+        self.handle(Event::Established { id: id.clone(), leg, exchange: exchange_id(number), elapsed: took })
     }
 
-    pub fn answer(
+    pub fn end_attempt(
         &mut self,
         id: &CallId,
         leg: u32,
@@ -146,7 +148,7 @@
         let answer = AttemptResult {
             id: id.clone(),
             leg,
-            exchange: id_of(number),
+            exchange: exchange_id(number),
             outcome,
             elapsed: 1.2,
             cause: why,
@@ -154,28 +156,28 @@
             concluded: false,
             report: LoadReport::default(),
         };
-        self.event(Event::AttemptEnded(answer))
+        self.handle(Event::AttemptEnded(answer))
     }
 
     /// Fires the timer of `actions` when it is due.
-    pub fn ring(&mut self, actions: &[Action]) -> Vec<Action> {
+    pub fn expire_timer(&mut self, actions: &[Action]) -> Vec<Action> {
         let Some(Action::Timer { after, token }) = actions.iter().find(|a| matches!(a, Action::Timer { .. }))
         else {
             panic!("no timer in {actions:?}");
         };
         self.now += after;
-        self.event(Event::Timer(*token))
+        self.handle(Event::Timer(*token))
     }
 
     /// How many of `n` normal calls to `dest` are refused; sent ones are set up at once.
-    pub fn refused(&mut self, dest: i64, n: u32) -> u32 {
+    pub fn count_refused(&mut self, dest: i64, n: u32) -> u32 {
         let mut count = 0;
         for _ in 0..n {
-            let (id, actions) = self.call(dest);
-            if refused(&actions) {
+            let (id, actions) = self.place_call(dest);
+            if is_refused(&actions) {
                 count += 1;
             } else if let Some(office) = sent_to(&actions) {
-                self.stands(&id, 0, office.0 as i64 - 100, 0.4);
+                self.establish(&id, 0, office.0 as i64 - 100, 0.4);
             }
         }
         count
@@ -189,10 +191,10 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_refused(actions: &[Action]) -> bool {
     matches!(actions, [Action::Refuse { .. }])
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     matches!(actions, [Action::Fail(_)])
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,8 +21,8 @@
         (Outcome::NotSent, Cause::ProcessorFull),
     ];
     for (outcome, why) in outcomes {
-        let mut bench = Bench::new(settings());
-        let (id, mut actions) = bench.call(3);
+        let mut harness = ControllerHarness::new(settings());
+        let (id, mut actions) = harness.place_call(3);
         let mut leg = 0;
         let mut finals = 0;
         for _ in 0..20 {
@@ -31,52 +31,61 @@
             finals += actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count();
             if let Some(office) = sent_to(&actions) {
                 assert_eq!(finals, 0, "sent after the final answer: {outcome:?}");
-                bench.now += 0.05;
-                actions = bench.answer(&id, leg, office.0 as i64 - 100, outcome, why);
+                harness.now += 0.05;
+                actions = harness.end_attempt(&id, leg, office.0 as i64 - 100, outcome, why);
                 leg += 1;
             } else if actions.iter().any(|a| matches!(a, Action::Timer { .. })) {
-                actions = bench.ring(&actions);
+                actions = harness.expire_timer(&actions);
             } else {
                 break;
             }
         }
         assert_eq!(finals, 1, "{outcome:?} {why:?}");
-        assert!(bench.now < 1003.0, "in time: {outcome:?}");
+        assert!(harness.now < 1003.0, "in time: {outcome:?}");
     }
 }
 
 #[test]
 fn rule_two_no_second_attempt_while_one_is_out() {
-    let mut bench = Bench::new(settings());
-    let (id, _) = bench.call(3);
+    let mut harness = ControllerHarness::new(settings());
+    let (id, _) = harness.place_call(3);
     // An outcome of an attempt never made, or for the wrong leg, moves nothing.
-    assert!(bench.answer(&id, 5, 3, Outcome::Refused, Cause::Crankback).is_empty());
-    assert!(bench.event(Event::Timer(TimerToken(99))).is_empty());
-    assert!(bench.stands(&id, 3, 3, 0.1).is_empty());
+    assert!(harness.end_attempt(&id, 5, 3, Outcome::Refused, Cause::Crankback).is_empty());
+    assert!(harness.handle(Event::Timer(TimerToken(99))).is_empty());
+    assert!(harness.establish(&id, 3, 3, 0.1).is_empty());
 }
 
 #[test]
 fn rule_three_nothing_goes_to_a_draining_or_removed_office() {
     for condition in [ServiceState::Draining, ServiceState::Removed] {
-        let mut bench = Bench::new(settings());
-        bench.list(RosterKind::Incremental, vec![RosterEntry { state: condition, ..office(3) }]);
-        assert!(refused(&bench.call(3).1));
+        let mut harness = ControllerHarness::new(settings());
+        harness.update_roster(
+            RosterKind::Incremental,
+            vec![RosterEntry { state: condition, ..roster_entry(3) }],
+        );
+        assert!(is_refused(&harness.place_call(3).1));
     }
-    let mut bench = Bench::new(settings());
-    bench.list(RosterKind::Full, vec![office(0), office(1), office(2)]);
-    assert!(refused(&bench.call(3).1), "an office missing from a full list is gone");
-    bench.list(RosterKind::RequestFailed, Vec::new());
-    assert_eq!(sent_to(&bench.call(2).1), Some(id_of(2)), "a failed request leaves the list in force");
+    let mut harness = ControllerHarness::new(settings());
+    harness.update_roster(RosterKind::Full, vec![roster_entry(0), roster_entry(1), roster_entry(2)]);
+    assert!(is_refused(&harness.place_call(3).1), "an office missing from a full list is gone");
+    harness.update_roster(RosterKind::RequestFailed, Vec::new());
+    assert_eq!(
+        sent_to(&harness.place_call(2).1),
+        Some(exchange_id(2)),
+        "a failed request leaves the list in force"
+    );
 }
 
 #[test]
 fn a_replacement_takes_the_calls_of_its_number() {
-    let mut bench = Bench::new(settings());
-    let new = RosterEntry { id: ExchangeId(900), ready_at: Some(Time(bench.now)), ..office(3) };
-    bench
-        .list(RosterKind::Incremental, vec![RosterEntry { state: ServiceState::Draining, ..office(3) }, new]);
-    bench.now += 3.0; // until a set-up's share of the fall budget has come
-    assert_eq!(sent_to(&bench.call(3).1), Some(ExchangeId(900)));
+    let mut harness = ControllerHarness::new(settings());
+    let new = RosterEntry { id: ExchangeId(900), ready_at: Some(Time(harness.now)), ..roster_entry(3) };
+    harness.update_roster(
+        RosterKind::Incremental,
+        vec![RosterEntry { state: ServiceState::Draining, ..roster_entry(3) }, new],
+    );
+    harness.now += 3.0; // until a set-up's share of the fall budget has come
+    assert_eq!(sent_to(&harness.place_call(3).1), Some(ExchangeId(900)));
 }
 
 /// Sends to a cold office that took 20 set-ups a second before its start, within `span` from it, by `n` call
@@ -84,23 +93,23 @@
 fn most_in_a_second(n: u32, span: f64) -> usize {
     let mut sends = Vec::new();
     for seed in 0..n {
-        let mut with = settings();
-        with.proxies = n;
-        let mut bench = Bench::seeded(with, u64::from(seed));
+        let mut settings = settings();
+        settings.proxies = n;
+        let mut harness = ControllerHarness::with_seed(settings, u64::from(seed));
         let report = LoadReport { set_up_rate: Some(20.0), ..LoadReport::default() };
-        bench.event(Event::Status { exchange: id_of(3), ok: true, elapsed: 0.0, report });
-        bench.list(
+        harness.handle(Event::Status { exchange: exchange_id(3), ok: true, elapsed: 0.0, report });
+        harness.update_roster(
             RosterKind::Incremental,
-            vec![RosterEntry { ready_at: Some(Time(bench.now)), ..office(3) }],
+            vec![RosterEntry { ready_at: Some(Time(harness.now)), ..roster_entry(3) }],
         );
-        let start = bench.now;
-        while bench.now - start < span {
-            let (id, actions) = bench.call(3);
-            if sent_to(&actions) == Some(id_of(3)) {
-                sends.push(bench.now);
-                bench.stands(&id, 0, 3, 0.1);
+        let start = harness.now;
+        while harness.now - start < span {
+            let (id, actions) = harness.place_call(3);
+            if sent_to(&actions) == Some(exchange_id(3)) {
+                sends.push(harness.now);
+                harness.establish(&id, 0, 3, 0.1);
             }
-            bench.now += 0.2;
+            harness.now += 0.2;
         }
     }
     let within = |from: &f64| sends.iter().filter(|at| (*from..from + 1.0).contains(*at)).count();
@@ -119,77 +128,80 @@
 
 #[test]
 fn a_warm_office_is_not_held_back() {
-    let mut bench = Bench::new(settings());
-    bench.circuits(3, 1000.0, 1000.0);
-    bench.list(RosterKind::Incremental, vec![RosterEntry { ready_at: Some(Time(bench.now)), ..office(3) }]);
-    assert!(bench.refused(3, 50) > 40);
-    bench.now += 20.0;
-    assert_eq!(bench.refused(3, 50), 0);
+    let mut harness = ControllerHarness::new(settings());
+    harness.report_circuits(3, 1000.0, 1000.0);
+    harness.update_roster(
+        RosterKind::Incremental,
+        vec![RosterEntry { ready_at: Some(Time(harness.now)), ..roster_entry(3) }],
+    );
+    assert!(harness.count_refused(3, 50) > 40);
+    harness.now += 20.0;
+    assert_eq!(harness.count_refused(3, 50), 0);
 }
 
 #[test]
 fn rule_five_the_release_is_awaited() {
     for outcome in [Outcome::Reset, Outcome::Cancelled, Outcome::TimedOut] {
-        let mut bench = Bench::new(settings());
-        let (id, _) = bench.call(3);
-        bench.now += 0.1;
-        let told = bench.now;
-        let actions = bench.answer(&id, 0, 3, outcome, Cause::Unspecified);
+        let mut harness = ControllerHarness::new(settings());
+        let (id, _) = harness.place_call(3);
+        harness.now += 0.1;
+        let told = harness.now;
+        let actions = harness.end_attempt(&id, 0, 3, outcome, Cause::Unspecified);
         assert_eq!(sent_to(&actions), None, "{outcome:?}");
-        let actions = bench.ring(&actions);
-        assert!(bench.now - told >= 0.3);
-        assert!(sent_to(&actions).is_some() || refused(&actions), "{outcome:?}: {actions:?}");
+        let actions = harness.expire_timer(&actions);
+        assert!(harness.now - told >= 0.3);
+        assert!(sent_to(&actions).is_some() || is_refused(&actions), "{outcome:?}: {actions:?}");
     }
 }
 
 #[test]
 fn single_shot_calls_that_may_have_run_are_failed_not_repeated() {
-    let mut with = settings();
-    with.classes[0].repeat_semantics = RepeatSemantics::AtMostOnce;
-    let mut bench = Bench::new(with);
-    let (id, _) = bench.call(3);
-    let actions = bench.answer(&id, 0, 3, Outcome::TimedOut, Cause::Unspecified);
-    let actions = if failed(&actions) { actions } else { bench.ring(&actions) };
-    assert!(failed(&actions), "{actions:?}");
+    let mut settings = settings();
+    settings.classes[0].repeat_semantics = RepeatSemantics::AtMostOnce;
+    let mut harness = ControllerHarness::new(settings);
+    let (id, _) = harness.place_call(3);
+    let actions = harness.end_attempt(&id, 0, 3, Outcome::TimedOut, Cause::Unspecified);
+    let actions = if is_failed(&actions) { actions } else { harness.expire_timer(&actions) };
+    assert!(is_failed(&actions), "{actions:?}");
     // Proven not to have run: both are allowed again.
-    let (id, _) = bench.call(2);
-    assert!(refused(&bench.answer(&id, 0, 2, Outcome::Refused, Cause::ProcessorFull)));
+    let (id, _) = harness.place_call(2);
+    assert!(is_refused(&harness.end_attempt(&id, 0, 2, Outcome::Refused, Cause::ProcessorFull)));
 }
 
 #[test]
 fn guarded_calls_stay_within_their_group() {
-    let mut with = settings();
-    with.classes[0].repeat_semantics = RepeatSemantics::Deduplicated(DuplicateScope::Number);
-    let mut bench = Bench::new(with);
-    bench.circuits(3, 0.0, 30.0);
-    let (id, actions) = bench.call(3);
+    let mut settings = settings();
+    settings.classes[0].repeat_semantics = RepeatSemantics::Deduplicated(DuplicateScope::Number);
+    let mut harness = ControllerHarness::new(settings);
+    harness.report_circuits(3, 0.0, 30.0);
+    let (id, actions) = harness.place_call(3);
     let tandem = sent_to(&actions).expect("a tandem");
-    bench.now += 0.05;
-    let actions = bench.answer(&id, 0, tandem.0 as i64 - 100, Outcome::Reset, Cause::Unspecified);
-    let actions = bench.ring(&actions);
-    assert!(failed(&actions), "no other tandem, and no refusal: {actions:?}");
+    harness.now += 0.05;
+    let actions = harness.end_attempt(&id, 0, tandem.0 as i64 - 100, Outcome::Reset, Cause::Unspecified);
+    let actions = harness.expire_timer(&actions);
+    assert!(is_failed(&actions), "no other tandem, and no refusal: {actions:?}");
 }
 
 #[test]
 fn a_call_to_the_own_exchange_is_refused() {
-    let mut bench = Bench::new(settings());
-    assert!(refused(&bench.call(OWN).1));
+    let mut harness = ControllerHarness::new(settings());
+    assert!(is_refused(&harness.place_call(OWN_NUMBER).1));
 }
 
 #[test]
 fn busy_lines_gap_the_number() {
-    let mut bench = Bench::new(settings());
-    let to = |bench: &mut Bench| {
-        let mut call = bench.arrival(3);
+    let mut harness = ControllerHarness::new(settings());
+    let to = |harness: &mut ControllerHarness| {
+        let mut call = harness.arrival(3);
         call.number = Some("n/1".into());
-        (call.id.clone(), bench.event(Event::Arrival(call)))
+        (call.id.clone(), harness.handle(Event::Arrival(call)))
     };
-    let (id, _) = to(&mut bench);
-    assert!(refused(&bench.answer(&id, 0, 3, Outcome::Error, Cause::LinesBusy)));
-    assert!(refused(&to(&mut bench).1));
-    assert_eq!(bench.refused(3, 5), 0, "other numbers there are not gapped");
-    bench.now += 60.0;
-    assert!(sent_to(&to(&mut bench).1).is_some());
+    let (id, _) = to(&mut harness);
+    assert!(is_refused(&harness.end_attempt(&id, 0, 3, Outcome::Error, Cause::LinesBusy)));
+    assert!(is_refused(&to(&mut harness).1));
+    assert_eq!(harness.count_refused(3, 5), 0, "other numbers there are not gapped");
+    harness.now += 60.0;
+    assert!(sent_to(&to(&mut harness).1).is_some());
 }
 
 #[test]
@@ -199,37 +211,37 @@
     odd.proxies = 0;
     odd.max_attempts = 0;
     (odd.collapse_time, odd.warm_up_time, odd.tick, odd.cold_share) = (0.0, -1.0, 0.0, f64::NAN);
-    let mut bench = Bench::new(odd);
-    assert!(!bench.call(3).1.is_empty());
+    let mut harness = ControllerHarness::new(odd);
+    assert!(!harness.place_call(3).1.is_empty());
     let mut none = settings();
     none.classes.clear();
-    let mut bench = Bench::new(none);
-    assert!(refused(&bench.call(3).1));
+    let mut harness = ControllerHarness::new(none);
+    assert!(is_refused(&harness.place_call(3).1));
 }
 
 #[test]
 fn on_request_discovery_subscribes_and_tries_again_after_a_failure() {
-    let mut with = settings();
-    with.discovery = Discovery::OnRequest;
-    let mut controller = mallowring::Controller::new(with.clone(), 1);
+    let mut settings = settings();
+    settings.discovery = Discovery::OnRequest;
+    let mut controller = mallowring::Controller::new(settings.clone(), 1);
     let mut out = Vec::new();
     controller.start(Time(5.0), &mut out);
     assert_eq!(out, [Action::Subscribe]);
-    let mut bench = Bench::new(with);
-    let actions = bench.list(RosterKind::RequestFailed, Vec::new());
-    assert_eq!(bench.ring(&actions), [Action::Subscribe]);
+    let mut harness = ControllerHarness::new(settings);
+    let actions = harness.update_roster(RosterKind::RequestFailed, Vec::new());
+    assert_eq!(harness.expire_timer(&actions), [Action::Subscribe]);
 }
 
 #[test]
 fn skills_go_to_the_first_choice_then_to_another_allowed_pool() {
-    let mut with = settings();
-    (with.service_kind, with.own_exchange) = (ServiceKind::AgentPools, None);
-    with.classes[0].pools = vec![ExchangeNumber(3), ExchangeNumber(4)];
-    let mut bench = Bench::new(with);
-    assert_eq!(sent_to(&bench.call(3).1), Some(id_of(3)));
-    bench.circuits(3, 0.0, 30.0);
+    let mut settings = settings();
+    (settings.service_kind, settings.own_exchange) = (ServiceKind::AgentPools, None);
+    settings.classes[0].pools = vec![ExchangeNumber(3), ExchangeNumber(4)];
+    let mut harness = ControllerHarness::new(settings);
+    assert_eq!(sent_to(&harness.place_call(3).1), Some(exchange_id(3)));
+    harness.report_circuits(3, 0.0, 30.0);
     for _ in 0..10 {
-        assert_eq!(sent_to(&bench.call(3).1), Some(id_of(4)));
+        assert_eq!(sent_to(&harness.place_call(3).1), Some(exchange_id(4)));
     }
 }
 
@@ -237,15 +249,18 @@
 /// refused most of its own calls (iaec263).
 #[test]
 fn a_cold_own_processor_may_use_half_of_the_fall_budget() {
-    let mut bench = Bench::new(settings());
-    for number in [OWN, 1, 2, 3, 4] {
+    let mut harness = ControllerHarness::new(settings());
+    for number in [OWN_NUMBER, 1, 2, 3, 4] {
         let report =
             LoadReport { set_up_rate: Some(20.0), queued_messages: Some(0.0), ..LoadReport::default() };
-        bench.event(Event::Status { exchange: id_of(number), ok: true, elapsed: 0.0, report });
+        harness.handle(Event::Status { exchange: exchange_id(number), ok: true, elapsed: 0.0, report });
     }
-    bench.list(RosterKind::Incremental, vec![RosterEntry { ready_at: Some(Time(bench.now)), ..office(OWN) }]);
+    harness.update_roster(
+        RosterKind::Incremental,
+        vec![RosterEntry { ready_at: Some(Time(harness.now)), ..roster_entry(OWN_NUMBER) }],
+    );
     // Half of 2.5 x 0.3 x 20 a second: half of a second's at once, the rest as time goes by.
-    assert_eq!(50 - bench.refused(3, 50), 3);
-    bench.now += 0.5;
-    assert_eq!(50 - bench.refused(3, 50), 3);
+    assert_eq!(50 - harness.count_refused(3, 50), 3);
+    harness.now += 0.5;
+    assert_eq!(50 - harness.count_refused(3, 50), 3);
 }
