--- a/src/capture/replay.rs
+++ b/src/capture/replay.rs
@@ -40,7 +40,7 @@
             (EntryKind::Start(start), _) => {
                 let tenants = Tenants::new(start.tenants.iter().cloned());
                 let (settings, tuning) = (start.settings.clone(), start.tuning.clone());
-                table = Some(Table::tuned(settings, tuning, tenants, start.seed, entry.at));
+                table = Some(Table::with_tuning(settings, tuning, tenants, start.seed, entry.at));
             }
             // The missing entries may have changed the state of the table.
             (EntryKind::Gap(dropped), _) => {
@@ -51,7 +51,7 @@
             (_, None) => report.skipped_entries += 1,
             (EntryKind::TenantChanges(changes), Some(table)) => {
                 // A change that failed in the original run fails again, and has no effect in either.
-                let _ = table.tenants_mut().change(changes);
+                let _ = table.tenants_mut().apply(changes);
             }
             (EntryKind::Event(event), Some(table)) => {
                 output.clear();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,13 +1,14 @@
-//! The actors that hold sockets: the platform's front, one for each exchange, the list, the clock, and the
-//! module's own. All run on one thread; each owns its state and hears the others through its mailbox.
+//! The I/O of the proxy as a set of actors: the fronts, one actor per exchange, the roster client, the clock and the
+//! engine, which holds the call table. All actors run on one thread. Each owns its state and receives messages
+//! through its mailbox.
 
-pub mod bulletin;
 pub mod clock;
 pub mod conn;
 pub mod engine;
 pub mod peer;
 pub mod permits;
 pub mod platform;
+pub mod roster;
 pub mod sip;
 
 use std::future::Future;
@@ -29,37 +30,42 @@
 use crate::limits::descriptors::DescriptorPlan;
 use crate::limits::memory::MemoryPlan;
 use crate::sip::agent::{AgentConfig, CallClass};
-use conn::Outboxes;
+use conn::SendQueues;
 use permits::Permits;
 
-/// Where actors run.
-pub type Tasks = Rc<LocalExecutor<'static>>;
+/// The single-threaded executor that runs all actors.
+pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// Mails beyond which whoever brings more from outside waits. Mailboxes have no other bound: they cost what they hold,
-/// and nothing that is owed can be lost in a full one.
-const BACKLOG: usize = 64;
-const BACK_OFF: Duration = Duration::from_millis(2);
+/// Number of queued messages from which [`post_throttled`] makes the sender wait. Mailboxes are otherwise unbounded:
+/// they use memory only for the messages they hold, and no message that has to be delivered is lost to a full
+/// mailbox.
+const BACKPRESSURE_THRESHOLD: usize = 64;
+/// Interval at which a waiting sender looks at the mailbox length again.
+const BACKPRESSURE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Hands something from outside to an actor once it has caught up; returns whether the actor is there.
-pub(crate) async fn post_when_calm<M>(mailbox: &Sender<M>, mail: M) -> bool {
-    while mailbox.len() >= BACKLOG {
-        Timer::after(BACK_OFF).await;
+/// Sends network input to a mailbox once its backlog is short enough. Returns false if the actor has ended.
+pub(crate) async fn post_throttled<M>(mailbox: &Sender<M>, message: M) -> bool {
+    while mailbox.len() >= BACKPRESSURE_THRESHOLD {
+        Timer::after(BACKPRESSURE_POLL_INTERVAL).await;
     }
-    mailbox.send(mail).await.is_ok()
+    mailbox.send(message).await.is_ok()
 }
 
-/// Sends to a mailbox; when its actor has ended the program ends as well.
-pub(crate) async fn post<M>(mailbox: &Sender<M>, mail: M) {
-    let _ = mailbox.send(mail).await;
+/// Sends to an actor that runs as long as the program, so that a failure can be ignored.
+pub(crate) async fn post<M>(mailbox: &Sender<M>, message: M) {
+    let _ = mailbox.send(message).await;
 }
 
-/// Does something, or gives up after a time.
-pub(crate) async fn or_late<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let late = async {
-        Timer::after(limit).await;
+/// Runs an I/O operation; fails with `TimedOut` when the time limit passes first.
+pub(crate) async fn with_timeout<T>(
+    timeout: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
+    let expired = async {
+        Timer::after(timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, expired).await
 }
 
 /// A signalling proxy whose sockets are bound.
@@ -75,7 +81,7 @@
 }
 
 impl Node {
-    /// Binds what the configuration names.
+    /// Binds all listeners that the configuration names.
     pub fn bind(config: Config) -> io::Result<Node> {
         let listen = |addr: SocketAddr| Async::<std::net::TcpListener>::bind(addr).map(TcpListener::from);
         let platform = config.platform.as_ref().map(|p| listen(p.listen)).transpose()?;
@@ -87,87 +93,87 @@
         Ok(Node { config, platform, sip, http, netconf, stop: bounded(1), reload: bounded(1) })
     }
 
-    /// Where the SIP front listens.
+    /// The address on which the SIP front listens.
     pub fn sip_addr(&self) -> Option<SocketAddr> {
         self.sip.as_ref().and_then(|(udp, _)| udp.local_addr().ok())
     }
 
-    /// Where the platform's front listens.
+    /// The address on which the platform front listens.
     pub fn platform_addr(&self) -> Option<SocketAddr> {
         self.platform.as_ref().and_then(|tcp| tcp.local_addr().ok())
     }
 
-    /// Where the tenants' API listens.
+    /// The address on which the tenants' HTTP API listens.
     pub fn http_addr(&self) -> Option<SocketAddr> {
         self.http.as_ref().and_then(|tcp| tcp.local_addr().ok())
     }
 
-    /// Where NETCONF listens.
+    /// The address on which the NETCONF server listens.
     pub fn netconf_addr(&self) -> Option<SocketAddr> {
         self.netconf.as_ref().and_then(|tcp| tcp.local_addr().ok())
     }
 
-    /// Something to be sent to tell the program to drain and end, as SIGTERM does.
-    pub fn stopper(&self) -> Sender<()> {
+    /// A channel that starts the shutdown when `()` is sent to it, as SIGTERM does.
+    pub fn shutdown_sender(&self) -> Sender<()> {
         self.stop.0.clone()
     }
 
-    /// Something to be sent to tell the program to read its configuration again, as SIGHUP does.
-    pub fn reloader(&self) -> Sender<()> {
+    /// A channel that makes the proxy reload its configuration when `()` is sent to it, as SIGHUP does.
+    pub fn reload_sender(&self) -> Sender<()> {
         self.reload.0.clone()
     }
 
-    /// Runs until it is told to end and has drained.
+    /// Runs the proxy until a shutdown is requested and all calls have drained.
     pub fn run(self) -> io::Result<()> {
-        let tasks: Tasks = Rc::new(LocalExecutor::new());
+        let tasks: Executor = Rc::new(LocalExecutor::new());
         let inner = tasks.clone();
         smol::block_on(tasks.run(self.serve(inner)))
     }
 
-    async fn serve(self, tasks: Tasks) -> io::Result<()> {
+    async fn serve(self, tasks: Executor) -> io::Result<()> {
         let Node { config, platform, sip, http, netconf, stop, reload } = self;
         let clock = clock::Clock::system();
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
         let origin = config.reload_source.clone();
-        let mut sources = None;
-        let (engine, engine_mail) = unbounded();
-        let (alarms, alarm_mail) = unbounded();
+        let mut roster_sources = None;
+        let (engine, engine_messages) = unbounded();
+        let (timers, timer_requests) = unbounded();
         let descriptors = DescriptorPlan::new(config.max_descriptors, config.admin.is_some());
         let memory = MemoryPlan::new(config.memory_mb);
         tracing::info!(?descriptors, ?memory, "budgets");
-        let outboxes = Outboxes::new(memory.queues);
+        let send_queues = SendQueues::new(memory.queues);
         let permits = Permits::new(clock, descriptors.exchanges);
         let mut front = None;
-        if let (Some(listener), Some(at)) = (platform, config.platform) {
-            let (mailbox, mail) = unbounded();
-            let (follow, followed) = bounded(1);
-            let (stop_accepting, accepting_stopped) = bounded(1);
-            sources = Some(follow);
-            tasks.spawn(bulletin::run(at.roster_source, followed, engine.clone())).detach();
-            let platform = platform::Platform {
+        if let (Some(listener), Some(platform_config)) = (platform, config.platform) {
+            let (mailbox, messages) = unbounded();
+            let (source_sender, source_updates) = bounded(1);
+            let (stop_accepting, stop_requests) = bounded(1);
+            roster_sources = Some(source_sender);
+            tasks.spawn(roster::run(platform_config.roster_source, source_updates, engine.clone())).detach();
+            let platform = platform::PlatformFront {
                 tasks: tasks.clone(),
                 engine: engine.clone(),
                 mailbox: mailbox.clone(),
                 clock,
-                alarms: alarms.clone(),
-                outboxes: outboxes.clone(),
+                timers: timers.clone(),
+                send_queues: send_queues.clone(),
                 permits: permits.clone(),
-                most: descriptors.callers,
-                releases: memory.releases,
+                max_connections: descriptors.callers,
+                max_release_bytes: memory.releases,
                 stop_accepting,
             };
-            tasks.spawn(platform.run(mail)).detach();
-            tasks.spawn(platform::accept(listener, accepting_stopped, mailbox.clone())).detach();
-            tracing::info!(name = config.name, listen = %at.listen, "started");
+            tasks.spawn(platform.run(messages)).detach();
+            tasks.spawn(platform::accept(listener, stop_requests, mailbox.clone())).detach();
+            tracing::info!(name = config.name, listen = %platform_config.listen, "started");
             front = Some(mailbox);
         }
         let mut sip_front = None;
-        let mut sip_offices = Vec::new();
-        if let (Some((udp, tcp)), Some(at)) = (sip, config.sip) {
-            let (mailbox, mail) = unbounded();
+        let mut sip_exchanges = Vec::new();
+        if let (Some((udp, tcp)), Some(sip_config)) = (sip, config.sip) {
+            let (mailbox, messages) = unbounded();
             let addr = udp.local_addr()?;
             tracing::info!(name = config.name, listen = %addr, "SIP over UDP and TCP started");
-            sip_offices = at.exchanges.iter().map(|e| e.roster_entry()).collect();
+            sip_exchanges = sip_config.exchanges.iter().map(|e| e.roster_entry()).collect();
             let class = |c: &crate::interface::Class| CallClass {
                 name: c.name.clone(),
                 give_up: c.give_up_after,
@@ -176,8 +182,8 @@
             let setup = AgentConfig {
                 addr,
                 classes: config.settings.classes.iter().map(class).collect(),
-                urgent_class: at.urgent_class,
-                exchanges: at.exchanges,
+                urgent_class: sip_config.urgent_class,
+                exchanges: sip_config.exchanges,
                 seed: config.seed ^ 0x51b,
             };
             let sip = sip::SipFront {
@@ -185,15 +191,17 @@
                 clock,
                 engine: engine.clone(),
                 mailbox: mailbox.clone(),
-                alarms: alarms.clone(),
-                outboxes: outboxes.clone(),
+                timers: timers.clone(),
+                send_queues: send_queues.clone(),
                 connect_timeout: config.connect_timeout,
-                most: config.max_descriptors / 3,
+                max_connections: config.max_descriptors / 3,
             };
-            tasks.spawn(sip.run(setup, udp, tcp, mail)).detach();
+            tasks.spawn(sip.run(setup, udp, tcp, messages)).detach();
             sip_front = Some(mailbox);
         }
-        tasks.spawn(clock::run(clock, alarm_mail, engine.clone(), sip_front.clone(), front.clone())).detach();
+        tasks
+            .spawn(clock::run(clock, timer_requests, engine.clone(), sip_front.clone(), front.clone()))
+            .detach();
         if let Some(admin) = config.admin {
             let store = Rc::new(TenantStore::new(engine.clone(), admin.tenants_file));
             if let (Some(listener), Some((_, tokens))) = (http, admin.http) {
@@ -204,77 +212,77 @@
                 tasks.spawn(server.run(listener)).detach();
             }
         }
-        let (drain, again) = (engine.clone(), reload.0);
-        let signalled = async move {
+        let (drain_requests, reload_requests) = (engine.clone(), reload.0);
+        let handle_signals = async move {
             while let Some(signal) = signals.next().await {
                 match signal {
-                    // One that waits already reads the same file.
-                    Ok(Signal::Hup) => drop(again.try_send(())),
-                    _ => post(&drain, engine::EngineMail::Drain).await,
+                    // If a reload is already queued, it will read the same file.
+                    Ok(Signal::Hup) => drop(reload_requests.try_send(())),
+                    _ => post(&drain_requests, engine::EngineMessage::Drain).await,
                 }
             }
         };
-        tasks.spawn(signalled).detach();
+        tasks.spawn(handle_signals).detach();
         let reloads = reload.1;
-        let reloaded = async move {
+        let reload_sources = async move {
             let mut origin = origin;
             while reloads.recv().await.is_ok() {
                 if let Some(source) = origin.reload() {
-                    if let Some(sources) = &sources {
-                        let _ = sources.send(source).await;
+                    if let Some(roster_sources) = &roster_sources {
+                        let _ = roster_sources.send(source).await;
                     }
                 }
             }
         };
-        tasks.spawn(reloaded).detach();
-        let drain = engine.clone();
-        let told = async move {
+        tasks.spawn(reload_sources).detach();
+        let drain_requests = engine.clone();
+        let handle_stop = async move {
             while stop.1.recv().await.is_ok() {
-                post(&drain, engine::EngineMail::Drain).await;
+                post(&drain_requests, engine::EngineMessage::Drain).await;
             }
         };
-        tasks.spawn(told).detach();
-        let own = config.settings.own_exchange;
+        tasks.spawn(handle_stop).detach();
+        let own_exchange = config.settings.own_exchange;
         let longest_deadline = config.settings.classes.iter().map(|c| c.give_up_after).fold(0.0, f64::max);
         let mut table = Table::new(config.settings, Tenants::new(config.tenants), config.seed, clock.now());
-        table.limit_bytes(memory.calls);
-        let module = engine::Engine {
+        table.set_max_bytes(memory.calls);
+        let engine_actor = engine::Engine {
             table,
             clock,
             tasks: tasks.clone(),
-            own,
+            own_exchange,
             longest_deadline,
-            peers: peer::Shared {
+            peer_context: peer::PeerContext {
                 tasks,
                 name: config.name.as_str().into(),
                 connect_timeout: config.connect_timeout,
                 clock,
                 engine: engine.clone(),
                 permits,
-                outboxes,
+                send_queues,
             },
             mailbox: engine,
-            alarms,
+            timers,
             platform: front,
             sip: sip_front,
-            sip_offices,
+            sip_exchanges,
         };
-        module.run(engine_mail).await;
-        // What is queued on connections goes out.
+        engine_actor.run(engine_messages).await;
+        // Lets the writers send what is still queued on their connections.
         Timer::after(Duration::from_millis(50)).await;
         Ok(())
     }
 }
 
-/// Binds one port for UDP and TCP. Where any port will do, one that is free for both is looked for.
+/// Binds the same port for UDP and TCP. With port 0, retries until a port is found that is free for both.
 fn bind_both(addr: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
-    let mut tries = if addr.port() == 0 { 50 } else { 1 };
+    let mut attempts_left = if addr.port() == 0 { 50 } else { 1 };
     loop {
-        tries -= 1;
+        attempts_left -= 1;
         let udp = Async::<std::net::UdpSocket>::bind(addr)?;
         match Async::<std::net::TcpListener>::bind(udp.get_ref().local_addr()?) {
             Ok(tcp) => return Ok((udp.into(), tcp.into())),
-            Err(error) if tries == 0 => return Err(error),
+            Err(error) if attempts_left == 0 => return Err(error),
             Err(_) => {}
         }
     }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: callers' connections on one side, the core on the other. Translation only.
+//! The platform front: translates between the callers' connections and the engine. It takes no decisions on calls.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 use smol::net::{TcpListener, TcpStream};
 use smol::{future, Timer};
 
-use super::clock::{Alarms, Clock, Due};
-use super::conn::{Conn, Heard, Outboxes, Over};
-use super::engine::EngineMail;
+use super::clock::{Clock, TimerKind, TimerSender};
+use super::conn::{CloseReason, ConnectionEvent, ConnectionHandle, SendQueues};
+use super::engine::EngineMessage;
 use super::permits::Permits;
-use super::{post, post_when_calm, Tasks};
+use super::{post, post_throttled, Executor};
 use crate::calls::{CallEvent, CallerCommand, Front, RejectReason, Request};
 use crate::interface::*;
 use crate::limits::memory::WaitingReleases;
@@ -21,121 +21,125 @@
 use crate::sip::message::{header, Message, StartLine};
 use crate::telemetry;
 
-/// A message has to be whole within this, and a connection has to bring a request that is taken.
-const WHOLE_WITHIN: Secs = 2.2;
-/// A connection without an open set-up that has been quiet for this long is closed; callers do so after 4 s.
-const IDLE: Secs = 5.0;
-/// What a caller is told that comes when every connection is in use, in milliseconds.
+/// Time in seconds within which a message has to be complete, and a new connection has to send a valid request.
+const MESSAGE_TIMEOUT: Secs = 2.2;
+/// Seconds after which an idle connection without a pending set-up is closed; callers close theirs after 4 s.
+const IDLE_TIMEOUT: Secs = 5.0;
+/// Cool-down in milliseconds for a caller that connects when every connection is in use.
 const COOL_DOWN_MS: u32 = 1000;
-/// Connections beyond the most that are let in to be refused in words.
-const MOST_BEYOND: usize = 8;
-/// Until the next try where no connection could be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Between two looks at the connections.
-const LOOK: Secs = 0.25;
-/// The longest description: what goes out must not be longer than a message may be.
-const LONGEST: usize = 15 * 1024;
+/// Connections accepted beyond the limit, so that their set-ups can be refused with a response.
+const MAX_REFUSED_CONNECTIONS: usize = 8;
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval in seconds between two checks of the connections.
+const CHECK_INTERVAL: Secs = 0.25;
+/// The longest session description accepted, in bytes: with the headers added, the message to the exchange must stay
+/// within the longest message allowed.
+const MAX_DESCRIPTION_BYTES: usize = 15 * 1024;
 
-/// What the front is told.
+/// Messages to the platform front.
 #[derive(Debug)]
-pub enum FrontMail {
+pub enum PlatformMessage {
     /// A caller has connected.
     Accepted(TcpStream),
-    /// A connection brings something.
-    Heard(u64, Heard),
-    /// The core answers a caller.
-    Near(CallId, CallerCommand),
-    /// Tests pass from now on.
+    /// An event of a connection, given by its id.
+    Connection(u64, ConnectionEvent),
+    /// A command of the call table to a caller.
+    ToCaller(CallId, CallerCommand),
+    /// The proxy is ready: `OPTIONS` requests are answered with 200 from now on.
     Ready,
-    /// Time to look after the connections.
-    Look,
-    /// The program is to end: connections are closed once nothing is left on them.
+    /// Check the connections.
+    CheckConnections,
+    /// The proxy shuts down: connections are closed once nothing is left on them.
     Drain(Shutdown),
-    /// No more connections are accepted.
-    AcceptEnded,
-    /// A connection waits and can't be accepted.
-    NoDescriptor,
+    /// The listener is closed, and every connection it accepted has been handed over.
+    ListenerClosed,
+    /// A connection could not be accepted for want of a descriptor.
+    AcceptFailed,
 }
 
-struct Leg {
-    conn: u64,
-    /// The headers of the set-up, to answer by.
+/// The caller's side of a call.
+struct CallerLeg {
+    /// Id of the connection on which the set-up was received.
+    received_on: u64,
+    /// Headers of the set-up, needed for the response; empty once it is answered.
     headers: Vec<(String, String)>,
     uri: String,
+    /// The set-up was answered with 200: the call is established.
     answered: bool,
 }
 
 /// A caller's connection.
-struct Line {
-    conn: Conn,
-    /// When it was opened, and when it last brought a request or took an answer.
-    opened: Time,
-    active: Time,
-    /// It has brought a set-up or a test that was taken.
-    proven: bool,
-    /// It has brought a set-up that was taken: releases may go there.
-    calls: bool,
-    /// Set-ups without a final answer.
-    open: usize,
-    /// Calls that stand and whose set-up it has brought: their releases are told here first.
-    standing: usize,
-    /// It came when every other one was in use: its set-ups are refused.
-    refused: bool,
+struct CallerConnection {
+    handle: ConnectionHandle,
+    opened_at: Time,
+    /// When it last carried a valid request or a final answer.
+    last_active: Time,
+    /// It has carried a valid set-up or an `OPTIONS` request.
+    useful: bool,
+    /// It has carried a valid set-up, so that releases of calls may be sent on it.
+    carries_calls: bool,
+    /// Number of set-ups without a final answer.
+    open_set_ups: usize,
+    /// Number of established calls that were set up on it. Their releases are sent here first.
+    established_calls: usize,
+    /// It was accepted beyond the limit: its set-ups are refused.
+    over_limit: bool,
 }
 
-/// The front's state.
-pub struct Platform {
-    /// Where new actors start.
-    pub tasks: Tasks,
-    /// The core.
-    pub engine: Sender<EngineMail>,
-    /// The own mailbox.
-    pub mailbox: Sender<FrontMail>,
-    /// Its clock.
+/// What the platform front needs from the rest of the proxy.
+pub struct PlatformFront {
+    /// Executor of new actors.
+    pub tasks: Executor,
+    /// Mailbox of the engine.
+    pub engine: Sender<EngineMessage>,
+    /// Mailbox of this front.
+    pub mailbox: Sender<PlatformMessage>,
+    /// The clock.
     pub clock: Clock,
-    /// The clock's actor.
-    pub alarms: Alarms,
-    /// What waits to be written on all connections.
-    pub outboxes: Rc<Outboxes>,
-    /// The connections to exchanges, for the counters.
+    /// Mailbox of the clock actor.
+    pub timers: TimerSender,
+    /// The send queues of all connections.
+    pub send_queues: Rc<SendQueues>,
+    /// The permits for connections to exchanges, whose number goes into the metrics.
     pub permits: Rc<Permits>,
-    /// The most connections.
-    pub most: usize,
-    /// The most bytes of releases that wait for a connection.
-    pub releases: usize,
-    /// Told once no more connections are to be accepted.
+    /// Limit of callers' connections.
+    pub max_connections: usize,
+    /// Limit in bytes of the releases that wait for a connection.
+    pub max_release_bytes: usize,
+    /// Tells the listener task to stop accepting.
     pub stop_accepting: Sender<()>,
 }
 
 struct State {
-    front: Platform,
+    front: PlatformFront,
     ready: bool,
-    next: u64,
-    lines: BTreeMap<u64, Line>,
-    calls: BTreeMap<CallId, Leg>,
-    /// Releases that wait for a connection which has brought a call.
-    unsent: WaitingReleases,
+    next_connection_id: u64,
+    caller_connections: BTreeMap<u64, CallerConnection>,
+    calls: BTreeMap<CallId, CallerLeg>,
+    /// Releases that wait for a connection with `carries_calls`.
+    undelivered_releases: WaitingReleases,
     shutdown: Option<Shutdown>,
-    /// Since when no caller is connected.
-    unconnected_since: Time,
+    /// Since when no caller is connected; while one is, a recent time.
+    no_callers_since: Time,
     accepting: Accepting,
 }
 
-/// Whether callers are accepted.
+/// State of the listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Accepting {
     Yes,
-    /// The listener was told to stop.
+    /// The listener was told to stop accepting.
     Stopping,
-    /// All that it had taken are here.
+    /// The listener is closed, and every connection it accepted has been handed over.
     Ended,
 }
 
-/// Accepts callers until it is told to stop. Whoever has connected by then is still handed on.
-pub async fn accept(listener: TcpListener, stop: Receiver<()>, mailbox: Sender<FrontMail>) {
+/// Accepts callers until `stop` is signalled. Callers that have connected by then are still handed over.
+pub async fn accept(listener: TcpListener, stop: Receiver<()>, mailbox: Sender<PlatformMessage>) {
     loop {
         let stopped = async {
-            // Without a sender nobody will ever stop it.
+            // A closed channel means that no stop will come.
             if stop.recv().await.is_err() {
                 future::pending::<()>().await;
             }
@@ -143,66 +147,74 @@
         };
         let accepted = async { Some(listener.accept().await) };
         match future::or(stopped, accepted).await {
-            Some(Ok((stream, _))) => drop(post_when_calm(&mailbox, FrontMail::Accepted(stream)).await),
+            Some(Ok((stream, _))) => drop(post_throttled(&mailbox, PlatformMessage::Accepted(stream)).await),
             Some(Err(error)) => {
                 telemetry::accept_failed();
-                tracing::warn!(%error, "no connection could be accepted: an idle one makes room");
-                post(&mailbox, FrontMail::NoDescriptor).await;
-                Timer::after(ACCEPT_PAUSE).await;
+                tracing::warn!(%error, "accepting a connection failed: closing an idle one");
+                post(&mailbox, PlatformMessage::AcceptFailed).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
             None => break,
         }
     }
     while let Some(Ok((stream, _))) = future::poll_once(listener.accept()).await {
-        post(&mailbox, FrontMail::Accepted(stream)).await;
+        post(&mailbox, PlatformMessage::Accepted(stream)).await;
     }
     drop(listener);
-    post(&mailbox, FrontMail::AcceptEnded).await;
+    post(&mailbox, PlatformMessage::ListenerClosed).await;
 }
 
-impl Platform {
-    /// Runs for ever.
-    pub async fn run(self, mail: Receiver<FrontMail>) {
-        let (lines, calls) = (BTreeMap::new(), BTreeMap::new());
-        let unconnected_since = self.clock.now();
-        let unsent = WaitingReleases::new(self.releases);
+impl PlatformFront {
+    /// Runs the platform front until its mailbox is closed.
+    pub async fn run(self, messages: Receiver<PlatformMessage>) {
+        let (caller_connections, calls) = (BTreeMap::new(), BTreeMap::new());
+        let no_callers_since = self.clock.now();
+        let undelivered_releases = WaitingReleases::new(self.max_release_bytes);
         let mut state = State {
             front: self,
             ready: false,
-            next: 0,
-            lines,
+            next_connection_id: 0,
+            caller_connections,
             calls,
-            unsent,
+            undelivered_releases,
             shutdown: None,
-            unconnected_since,
+            no_callers_since,
             accepting: Accepting::Yes,
         };
-        state.look().await;
-        while let Ok(mail) = mail.recv().await {
-            match mail {
-                FrontMail::Accepted(stream) => state.accepted(stream).await,
-                // Whatever a connection still brings after its close is not heard.
-                FrontMail::Heard(no, _) if !state.lines.contains_key(&no) => {}
-                FrontMail::Heard(no, Heard::Message(Ok(message))) => state.message(no, message).await,
-                FrontMail::Heard(no, Heard::Message(Err(fault))) => {
-                    tracing::warn!(%fault, "message from a caller");
-                    let known = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
-                    if known && !fault.is_response {
-                        state.write(no, &Message::response(400, "Bad Request", &fault.headers));
+        state.check_connections().await;
+        while let Ok(message) = messages.recv().await {
+            match message {
+                PlatformMessage::Accepted(stream) => state.accepted(stream).await,
+                // Events that arrive after a connection was closed are ignored.
+                PlatformMessage::Connection(connection_id, _)
+                    if !state.caller_connections.contains_key(&connection_id) => {}
+                PlatformMessage::Connection(connection_id, ConnectionEvent::Message(Ok(message))) => {
+                    state.handle_message(connection_id, message).await
+                }
+                PlatformMessage::Connection(connection_id, ConnectionEvent::Message(Err(fault))) => {
+                    tracing::warn!(%fault, "malformed message from a caller");
+                    let has_call_id = header(&fault.headers, "Call-ID").is_some_and(|id| !id.is_empty());
+                    if has_call_id && !fault.is_response {
+                        state.write(connection_id, &Message::response(400, "Bad Request", &fault.headers));
                     } else {
-                        state.close(no).await;
+                        state.close(connection_id).await;
                     }
                 }
-                FrontMail::Heard(no, Heard::Over(over)) => state.over(no, over).await,
-                FrontMail::Near(id, near) => state.near(id, near),
-                FrontMail::Ready => state.ready = true,
-                FrontMail::Look => state.look().await,
-                FrontMail::NoDescriptor => drop(state.make_room().await),
-                FrontMail::Drain(shutdown) => state.shutdown = state.shutdown.or(Some(shutdown)),
-                FrontMail::AcceptEnded => {
-                    tracing::debug!(connections = state.lines.len(), "no more callers are accepted");
+                PlatformMessage::Connection(connection_id, ConnectionEvent::Ended(reason)) => {
+                    state.connection_ended(connection_id, reason).await
+                }
+                PlatformMessage::ToCaller(id, command) => state.handle_caller_command(id, command),
+                PlatformMessage::Ready => state.ready = true,
+                PlatformMessage::CheckConnections => state.check_connections().await,
+                PlatformMessage::AcceptFailed => drop(state.make_room().await),
+                PlatformMessage::Drain(shutdown) => state.shutdown = state.shutdown.or(Some(shutdown)),
+                PlatformMessage::ListenerClosed => {
+                    tracing::debug!(
+                        connections = state.caller_connections.len(),
+                        "listener closed: no more callers are accepted"
+                    );
                     state.accepting = Accepting::Ended;
-                    state.look().await;
+                    state.check_connections().await;
                 }
             }
         }
@@ -211,369 +223,408 @@
 
 impl State {
     async fn accepted(&mut self, stream: TcpStream) {
-        let full = self.lines.len() >= self.front.most && !self.make_room().await;
-        let beyond = self.lines.len() >= self.front.most + MOST_BEYOND;
-        if beyond {
-            tracing::warn!(most = self.front.most, "too many callers: connection closed");
+        let full = self.caller_connections.len() >= self.front.max_connections && !self.make_room().await;
+        let far_over_limit =
+            self.caller_connections.len() >= self.front.max_connections + MAX_REFUSED_CONNECTIONS;
+        if far_over_limit {
+            tracing::warn!(most = self.front.max_connections, "too many callers: new connection closed");
             telemetry::caller_connection_closed("too many");
             return;
         }
-        let no = self.next;
-        self.next += 1;
-        let wrap = move |heard| FrontMail::Heard(no, heard);
-        let within = Duration::from_secs_f64(WHOLE_WITHIN);
-        let (tasks, outboxes) = (&self.front.tasks, &self.front.outboxes);
-        let conn = Conn::open(tasks, outboxes, stream, self.front.mailbox.clone(), within, wrap);
+        let connection_id = self.next_connection_id;
+        self.next_connection_id += 1;
+        let wrap = move |event| PlatformMessage::Connection(connection_id, event);
+        let message_timeout = Duration::from_secs_f64(MESSAGE_TIMEOUT);
+        let (tasks, send_queues) = (&self.front.tasks, &self.front.send_queues);
+        let handle = ConnectionHandle::open(
+            tasks,
+            send_queues,
+            stream,
+            self.front.mailbox.clone(),
+            message_timeout,
+            wrap,
+        );
         let now = self.front.clock.now();
-        let line = Line {
-            conn,
-            opened: now,
-            active: now,
-            proven: false,
-            calls: false,
-            open: 0,
-            standing: 0,
-            refused: full,
+        let caller = CallerConnection {
+            handle,
+            opened_at: now,
+            last_active: now,
+            useful: false,
+            carries_calls: false,
+            open_set_ups: 0,
+            established_calls: 0,
+            over_limit: full,
         };
-        self.lines.insert(no, line);
+        self.caller_connections.insert(connection_id, caller);
     }
 
-    /// Closes the idle connection that is needed the least; returns whether there was one.
+    /// Closes the idle connection that is least needed; returns whether there was one.
     async fn make_room(&mut self) -> bool {
-        // Whoever never asked for anything goes first, then whoever has been quiet the longest.
-        // Calls that stand may be told elsewhere, but mostly their callers wait for it here.
-        let idle = self.lines.iter().filter(|(_, line)| line.open == 0);
-        let rank = |line: &Line| (line.proven, line.standing > 0);
-        let spare = idle
-            .min_by(|(_, a), (_, b)| rank(a).cmp(&rank(b)).then_with(|| a.active.0.total_cmp(&b.active.0)));
-        let Some(spare) = spare.map(|(no, _)| *no) else { return false };
-        tracing::debug!(most = self.front.most, "many callers: an idle connection is closed");
+        // Connections without a valid request go first, then those without established calls, each group from the
+        // longest idle on. A release may be sent on another connection, but callers mostly wait for it on this one.
+        let idle = self.caller_connections.iter().filter(|(_, caller)| caller.open_set_ups == 0);
+        let rank = |caller: &CallerConnection| (caller.useful, caller.established_calls > 0);
+        let victim = idle.min_by(|(_, a), (_, b)| {
+            rank(a).cmp(&rank(b)).then_with(|| a.last_active.0.total_cmp(&b.last_active.0))
+        });
+        let Some(victim) = victim.map(|(connection_id, _)| *connection_id) else { return false };
+        tracing::debug!(
+            most = self.front.max_connections,
+            "connection limit reached: idle connection of a caller closed"
+        );
         telemetry::caller_connection_closed("made room");
-        self.close(spare).await;
+        self.close(victim).await;
         true
     }
 
-    /// Closes what has been of no use for too long, and asks to be woken for the next look.
-    async fn look(&mut self) {
+    /// Closes connections that are idle or have sent nothing valid for too long, and schedules the next check.
+    async fn check_connections(&mut self) {
         let now = self.front.clock.now();
         let shutdown = self.shutdown;
-        let useless = |line: &Line| {
-            let unproven = !line.proven && now - line.opened >= WHOLE_WITHIN;
-            let idle = line.standing == 0 && now - line.active >= IDLE;
-            let ending = shutdown.is_some_and(|s| s.may_close(now, line.open, line.standing));
-            match line.open {
-                0 if ending => Some("shutting down"),
-                0 if unproven => Some("nothing useful"),
+        let close_reason_of = |caller: &CallerConnection| {
+            let nothing_useful = !caller.useful && now - caller.opened_at >= MESSAGE_TIMEOUT;
+            let idle = caller.established_calls == 0 && now - caller.last_active >= IDLE_TIMEOUT;
+            let closing_for_shutdown = shutdown
+                .is_some_and(|s| s.may_close_connection(now, caller.open_set_ups, caller.established_calls));
+            match caller.open_set_ups {
+                0 if closing_for_shutdown => Some("shutting down"),
+                0 if nothing_useful => Some("nothing useful"),
                 0 if idle => Some("idle"),
                 _ => None,
             }
         };
-        let spare: Vec<_> = self.lines.iter().filter_map(|(no, line)| Some((*no, useless(line)?))).collect();
-        for (no, reason) in spare {
-            tracing::debug!(connection = no, reason, "a caller's connection is closed");
+        let closable: Vec<_> = self
+            .caller_connections
+            .iter()
+            .filter_map(|(connection_id, caller)| Some((*connection_id, close_reason_of(caller)?)))
+            .collect();
+        for (connection_id, reason) in closable {
+            tracing::debug!(connection = connection_id, reason, "connection of a caller closed");
             telemetry::caller_connection_closed(reason);
-            self.close(no).await;
+            self.close(connection_id).await;
         }
-        self.report();
-        self.end_if_done(now).await;
-        if self.accepting == Accepting::Ended && self.lines.is_empty() {
+        self.record_resources();
+        self.advance_shutdown(now).await;
+        if self.accepting == Accepting::Ended && self.caller_connections.is_empty() {
             return;
         }
-        let next = (now + LOOK, Due::Front);
-        if self.front.alarms.send(next).await.is_err() {
-            tracing::error!("the clock is gone: idle connections stay");
+        let next_check = (now + CHECK_INTERVAL, TimerKind::ConnectionCheck);
+        if self.front.timers.send(next_check).await.is_err() {
+            tracing::error!("the clock actor has ended: connections of callers are no longer checked");
         }
     }
 
-    fn report(&self) {
-        let (callers, exchanges) = (self.lines.len(), self.front.permits.held());
-        telemetry::set_resource_usage(callers, exchanges, self.front.outboxes.queued(), self.unsent.bytes());
+    fn record_resources(&self) {
+        let (callers, exchanges) = (self.caller_connections.len(), self.front.permits.open_connections());
+        telemetry::set_resource_usage(
+            callers,
+            exchanges,
+            self.front.send_queues.total_bytes(),
+            self.undelivered_releases.bytes(),
+        );
     }
 
-    /// After SIGTERM: stops to accept once no caller has been connected for a while, and says so once none is left.
-    async fn end_if_done(&mut self, now: Time) {
-        if !self.lines.is_empty() {
-            self.unconnected_since = now;
+    /// During a shutdown: stops accepting once no caller has been connected for a while, and tells the engine when no
+    /// connection is left.
+    async fn advance_shutdown(&mut self, now: Time) {
+        if !self.caller_connections.is_empty() {
+            self.no_callers_since = now;
         }
         let Some(shutdown) = self.shutdown else { return };
         match self.accepting {
-            Accepting::Yes if shutdown.may_end(now, self.unconnected_since) => {
+            Accepting::Yes if shutdown.may_exit(now, self.no_callers_since) => {
                 self.accepting = Accepting::Stopping;
-                // It ends with the first word of it.
+                // If a stop is already queued, the listener stops anyway.
                 let _ = self.front.stop_accepting.try_send(());
             }
-            Accepting::Ended if self.lines.is_empty() => {
-                post(&self.front.engine, EngineMail::CallersLeft).await;
+            Accepting::Ended if self.caller_connections.is_empty() => {
+                post(&self.front.engine, EngineMessage::CallersDisconnected).await;
             }
             _ => {}
         }
     }
 
-    fn write(&mut self, no: u64, message: &Message) -> bool {
-        self.lines.get(&no).is_some_and(|line| line.conn.write(message))
+    fn write(&mut self, connection_id: u64, message: &Message) -> bool {
+        self.caller_connections.get(&connection_id).is_some_and(|caller| caller.handle.write(message))
     }
 
-    async fn tell(&self, input: CallEvent) {
-        post(&self.front.engine, EngineMail::Input(input)).await;
+    async fn send_event(&self, input: CallEvent) {
+        post(&self.front.engine, EngineMessage::Input(input)).await;
     }
 
-    async fn over(&mut self, no: u64, over: Over) {
-        if !matches!(over, Over::Closed | Over::Broken(_)) {
-            tracing::warn!(?over, "a caller's connection is closed");
+    async fn connection_ended(&mut self, connection_id: u64, reason: CloseReason) {
+        if !matches!(reason, CloseReason::Closed | CloseReason::Broken(_)) {
+            tracing::warn!(over = ?reason, "connection of a caller failed");
         }
-        self.close(no).await;
+        self.close(connection_id).await;
     }
 
-    /// Closes a connection; the set-ups open on it are given up.
-    async fn close(&mut self, no: u64) {
-        self.lines.remove(&no);
-        self.unconnected_since = self.front.clock.now();
-        let open = self.calls.iter().filter(|(_, leg)| leg.conn == no && !leg.answered);
+    /// Closes a connection and abandons its pending set-ups.
+    async fn close(&mut self, connection_id: u64) {
+        self.caller_connections.remove(&connection_id);
+        self.no_callers_since = self.front.clock.now();
+        let open = self.calls.iter().filter(|(_, leg)| leg.received_on == connection_id && !leg.answered);
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
         for id in open {
             self.calls.remove(&id);
-            self.tell(CallEvent::CallerGaveUp(id)).await;
+            self.send_event(CallEvent::CallerGaveUp(id)).await;
         }
     }
 
-    /// Takes back the open set-up of a call, if it is this connection's.
-    fn take_back(&mut self, no: u64, id: &CallId) -> Option<Leg> {
-        self.calls.get(id).filter(|leg| leg.conn == no && !leg.answered)?;
+    /// Removes the pending set-up of a call, if it was received on this connection.
+    fn withdraw_set_up(&mut self, connection_id: u64, id: &CallId) -> Option<CallerLeg> {
+        self.calls.get(id).filter(|leg| leg.received_on == connection_id && !leg.answered)?;
         let leg = self.calls.remove(id)?;
-        self.settled(no);
+        self.set_up_answered(connection_id);
         Some(leg)
     }
 
-    /// A call that stands is over: its connection may go.
-    fn over_on_its_connection(&mut self, id: &CallId) {
-        let Some(no) = self.calls.get(id).filter(|leg| leg.answered).map(|leg| leg.conn) else { return };
-        if let Some(line) = self.lines.get_mut(&no) {
-            line.standing = line.standing.saturating_sub(1);
-            line.active = self.front.clock.now();
+    /// Records on its connection that an established call has ended.
+    fn established_call_ended(&mut self, id: &CallId) {
+        let Some(connection_id) = self.calls.get(id).filter(|leg| leg.answered).map(|leg| leg.received_on)
+        else {
+            return;
+        };
+        if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
+            caller.established_calls = caller.established_calls.saturating_sub(1);
+            caller.last_active = self.front.clock.now();
         }
     }
 
-    /// A set-up on a connection has its final answer.
-    fn settled(&mut self, no: u64) {
-        if let Some(line) = self.lines.get_mut(&no) {
-            line.open = line.open.saturating_sub(1);
-            line.active = self.front.clock.now();
+    /// Records that a set-up on a connection has its final answer.
+    fn set_up_answered(&mut self, connection_id: u64) {
+        if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
+            caller.open_set_ups = caller.open_set_ups.saturating_sub(1);
+            caller.last_active = self.front.clock.now();
         }
     }
 
-    async fn message(&mut self, no: u64, message: Message) {
+    async fn handle_message(&mut self, connection_id: u64, message: Message) {
         let id = CallId(message.get("Call-ID").unwrap_or("").to_owned());
         match message.method() {
-            Some("INVITE") => self.invite(no, id, message).await,
-            Some("CANCEL") => match self.take_back(no, &id) {
+            Some("INVITE") => self.invite(connection_id, id, message).await,
+            Some("CANCEL") => match self.withdraw_set_up(connection_id, &id) {
                 Some(leg) => {
-                    self.write(no, &Message::response(487, "Request Terminated", &leg.headers));
-                    self.tell(CallEvent::CallerGaveUp(id)).await;
+                    self.write(connection_id, &Message::response(487, "Request Terminated", &leg.headers));
+                    self.send_event(CallEvent::CallerGaveUp(id)).await;
                 }
-                // It crossed the answer: the call stands and is not wanted.
-                None if self.calls.get(&id).is_some_and(|leg| leg.conn == no) => {
-                    self.tell(CallEvent::CallerGaveUp(id)).await;
+                // The CANCEL crossed the answer: the call is established, and the caller does not want it.
+                None if self.calls.get(&id).is_some_and(|leg| leg.received_on == connection_id) => {
+                    self.send_event(CallEvent::CallerGaveUp(id)).await;
                 }
-                None => self.unknown(no, &message),
+                None => self.reply_unknown_call(connection_id, &message),
             },
             Some("BYE") => {
-                if let Some(leg) = self.take_back(no, &id) {
-                    self.write(no, &Message::response(487, "Request Terminated", &leg.headers));
-                    self.unknown(no, &message);
-                    self.tell(CallEvent::CallerGaveUp(id)).await;
+                if let Some(leg) = self.withdraw_set_up(connection_id, &id) {
+                    self.write(connection_id, &Message::response(487, "Request Terminated", &leg.headers));
+                    self.reply_unknown_call(connection_id, &message);
+                    self.send_event(CallEvent::CallerGaveUp(id)).await;
                 } else if self.calls.get(&id).is_some_and(|leg| leg.answered) {
-                    self.write(no, &Message::response(200, "OK", &message.headers));
-                    self.over_on_its_connection(&id);
+                    self.write(connection_id, &Message::response(200, "OK", &message.headers));
+                    self.established_call_ended(&id);
                     self.calls.remove(&id);
-                    self.tell(CallEvent::CallerReleased(id)).await;
+                    self.send_event(CallEvent::CallerReleased(id)).await;
                 } else {
-                    self.unknown(no, &message);
+                    self.reply_unknown_call(connection_id, &message);
                 }
             }
             Some("OPTIONS") => {
                 let (status, reason) = if self.ready { (200, "OK") } else { (503, "Starting") };
-                self.prove(no, false);
-                self.write(no, &Message::response(status, reason, &message.headers));
+                self.record_valid_request(connection_id, false);
+                self.write(connection_id, &Message::response(status, reason, &message.headers));
             }
             Some("ACK" | "NOTIFY") | None => {}
             Some(_) => {
-                self.write(no, &Message::response(405, "Method Not Allowed", &message.headers));
+                self.write(connection_id, &Message::response(405, "Method Not Allowed", &message.headers));
             }
         }
     }
 
-    fn unknown(&mut self, no: u64, message: &Message) {
-        self.write(no, &Message::response(481, "Call Does Not Exist", &message.headers));
+    fn reply_unknown_call(&mut self, connection_id: u64, message: &Message) {
+        self.write(connection_id, &Message::response(481, "Call Does Not Exist", &message.headers));
     }
 
-    /// A connection has brought something that is taken.
-    fn prove(&mut self, no: u64, calls: bool) {
-        let Some(line) = self.lines.get_mut(&no) else { return };
-        line.proven = true;
-        line.active = self.front.clock.now();
-        if calls && !line.calls {
-            line.calls = true;
-            line.conn.prove();
-            for message in self.unsent.take() {
-                line.conn.write(&message);
+    /// Records a valid request on a connection. The first set-up makes it eligible for waiting releases.
+    fn record_valid_request(&mut self, connection_id: u64, is_call: bool) {
+        let Some(caller) = self.caller_connections.get_mut(&connection_id) else { return };
+        caller.useful = true;
+        caller.last_active = self.front.clock.now();
+        if is_call && !caller.carries_calls {
+            caller.carries_calls = true;
+            caller.handle.mark_carries_calls();
+            for message in self.undelivered_releases.take_all() {
+                caller.handle.write(&message);
             }
         }
     }
 
-    async fn invite(&mut self, no: u64, id: CallId, message: Message) {
+    async fn invite(&mut self, connection_id: u64, id: CallId, message: Message) {
         match self.calls.get(&id) {
-            // Two set-ups of one id on one connection: neither can be told from the other.
-            Some(leg) if leg.conn == no => {
-                tracing::warn!(call = id.0, "two set-ups with one id: connection closed");
-                return self.close(no).await;
+            // Two set-ups with the same id on one connection can't be told apart.
+            Some(leg) if leg.received_on == connection_id => {
+                tracing::warn!(call = id.0, "two set-ups with the same id: connection closed");
+                return self.close(connection_id).await;
             }
             Some(_) => {
-                tracing::warn!(call = id.0, "set-up with the id of another caller's call");
-                self.write(no, &Message::response(482, "Call Exists", &message.headers));
+                tracing::warn!(
+                    call = id.0,
+                    "set-up rejected: its id belongs to a call of another connection"
+                );
+                self.write(connection_id, &Message::response(482, "Call Exists", &message.headers));
                 return;
             }
             None => {}
         }
-        let request = match request(&id, &message) {
+        let request = match parse_request(&id, &message) {
             Ok(request) => request,
             Err(what) => {
-                tracing::warn!(call = id.0, what, "set-up from a caller");
-                self.write(no, &Message::response(400, "Bad Request", &message.headers));
+                tracing::warn!(call = id.0, what, "invalid set-up rejected");
+                self.write(connection_id, &Message::response(400, "Bad Request", &message.headers));
                 return;
             }
         };
-        if self.lines.get(&no).is_some_and(|line| line.refused) {
+        if self.caller_connections.get(&connection_id).is_some_and(|caller| caller.over_limit) {
             telemetry::request_refused("too many callers");
             let refusal = Message::response(503, "Service Unavailable", &message.headers);
-            self.write(no, &refusal.with("X-Cooldown", COOL_DOWN_MS));
+            self.write(connection_id, &refusal.with("X-Cooldown", COOL_DOWN_MS));
             return;
         }
         let uri = match message.start_line {
             StartLine::Request { uri, .. } => uri,
             StartLine::Response { .. } => String::new(),
         };
-        if let Some(line) = self.lines.get_mut(&no) {
-            line.open += 1;
+        if let Some(caller) = self.caller_connections.get_mut(&connection_id) {
+            caller.open_set_ups += 1;
         }
-        self.calls.insert(id, Leg { conn: no, headers: message.headers, uri, answered: false });
-        self.tell(CallEvent::Request(request)).await;
+        self.calls.insert(
+            id,
+            CallerLeg { received_on: connection_id, headers: message.headers, uri, answered: false },
+        );
+        self.send_event(CallEvent::Request(request)).await;
     }
 
-    fn near(&mut self, id: CallId, near: CallerCommand) {
-        if matches!(near, CallerCommand::Release { .. }) {
-            self.over_on_its_connection(&id);
+    fn handle_caller_command(&mut self, id: CallId, command: CallerCommand) {
+        if matches!(command, CallerCommand::Release { .. }) {
+            self.established_call_ended(&id);
         }
         let Some(leg) = self.calls.get_mut(&id) else { return };
         let respond = |status, reason| Message::response(status, reason, &leg.headers);
-        // What is turned down as it makes no sense proves nothing of its sender.
-        let sense = !matches!(near, CallerCommand::Reject(_));
-        let (message, over) = match near {
+        // A rejected set-up is invalid, and does not make its connection count as useful.
+        let valid = !matches!(command, CallerCommand::Reject(_));
+        let (message, ends_call) = match command {
             CallerCommand::Answer(description) => {
                 let mut message = respond(200, "OK");
                 message.body = description.to_vec();
                 leg.answered = true;
-                // Only a release is still to be said.
+                // Only a release can follow, which does not need them.
                 leg.headers = Vec::new();
                 (message, false)
             }
-            CallerCommand::Refuse(wait) => {
+            CallerCommand::Refuse(cool_down) => {
                 let message = respond(503, "Service Unavailable");
-                let cooled = |s: Secs| message.clone().with("X-Cooldown", (s * 1000.0).round().max(0.0));
-                (wait.map_or(message.clone(), cooled), true)
+                let with_cool_down =
+                    |s: Secs| message.clone().with("X-Cooldown", (s * 1000.0).round().max(0.0));
+                (cool_down.map_or(message.clone(), with_cool_down), true)
             }
             CallerCommand::Fail => (respond(500, "Server Internal Error"), true),
             CallerCommand::Reject(RejectReason::UnknownClass) => (respond(488, "Not Acceptable Here"), true),
             CallerCommand::Reject(RejectReason::UnknownTenant) => (respond(403, "Forbidden"), true),
             CallerCommand::Reject(RejectReason::UnknownDestination) => (respond(404, "Not Found"), true),
             CallerCommand::Reject(RejectReason::OutOfRange) => (respond(400, "Bad Request"), true),
-            CallerCommand::Release { completed: whole } => {
+            CallerCommand::Release { completed } => {
                 let message = Message::request("BYE", &leg.uri)
                     .with("Via", "SIP/2.0/TCP proxy")
                     .with("Call-ID", &id.0)
                     .with("CSeq", "1 BYE")
-                    .with("Reason", format_args!("Q.850;cause={}", if whole { 16 } else { 41 }));
-                let conn = leg.conn;
+                    .with("Reason", format_args!("Q.850;cause={}", if completed { 16 } else { 41 }));
+                let received_on = leg.received_on;
                 self.calls.remove(&id);
-                return self.release(conn, message);
+                return self.deliver_release(received_on, message);
             }
         };
-        let conn = leg.conn;
-        telemetry::final_answer_sent(if over { "refused" } else { "stands" });
-        if over {
+        let received_on = leg.received_on;
+        telemetry::final_answer_sent(if ends_call { "refused" } else { "stands" });
+        if ends_call {
             self.calls.remove(&id);
-        } else if let Some(line) = self.lines.get_mut(&conn) {
-            line.standing += 1;
+        } else if let Some(caller) = self.caller_connections.get_mut(&received_on) {
+            caller.established_calls += 1;
         }
-        self.settled(conn);
-        if sense {
-            self.prove(conn, true);
+        self.set_up_answered(received_on);
+        if valid {
+            self.record_valid_request(received_on, true);
         }
-        self.write(conn, &message);
+        self.write(received_on, &message);
     }
 
-    /// No connection owns a call that stands: a release takes any that is open and has brought calls, or the next
-    /// to bring one.
-    fn release(&mut self, conn: u64, message: Message) {
-        if self.write(conn, &message) {
+    /// Sends a release to the caller. An established call is not bound to a connection: the release goes to the one
+    /// of its set-up, else to any open one that has carried calls, else to the next one that does.
+    fn deliver_release(&mut self, received_on: u64, message: Message) {
+        if self.write(received_on, &message) {
             return;
         }
-        let mut open: Vec<_> = self.lines.iter().filter(|(_, line)| line.calls).collect();
-        open.sort_by(|(_, a), (_, b)| b.active.0.total_cmp(&a.active.0));
-        let open: Vec<u64> = open.into_iter().map(|(no, _)| *no).collect();
-        if !open.into_iter().any(|no| self.write(no, &message)) {
-            tracing::debug!(call = message.get("Call-ID"), "release waits for a connection from a caller");
-            let dropped = self.unsent.add(message);
+        let mut open: Vec<_> =
+            self.caller_connections.iter().filter(|(_, caller)| caller.carries_calls).collect();
+        open.sort_by(|(_, a), (_, b)| b.last_active.0.total_cmp(&a.last_active.0));
+        let open: Vec<u64> = open.into_iter().map(|(connection_id, _)| *connection_id).collect();
+        if !open.into_iter().any(|connection_id| self.write(connection_id, &message)) {
+            tracing::debug!(
+                call = message.get("Call-ID"),
+                "no connection of a caller is open: release queued"
+            );
+            let dropped = self.undelivered_releases.push(message);
             if dropped > 0 {
                 telemetry::releases_dropped(dropped);
-                tracing::warn!(dropped, "releases waited too long for a caller's connection");
+                tracing::warn!(dropped, "releases dropped: too many wait for a connection of a caller");
             }
         }
     }
 }
 
-/// Reads a set-up. What an exchange could not read must not get past here: it would close on it, whatever else is
-/// open there.
-fn request(id: &CallId, message: &Message) -> Result<Request, &'static str> {
+/// Parses and validates a set-up. A set-up that an exchange could not read must not be forwarded: the exchange would
+/// close the connection, and with it end the other set-ups pending there.
+fn parse_request(id: &CallId, message: &Message) -> Result<Request, &'static str> {
     let uri = match &message.start_line {
         StartLine::Request { uri, .. } => uri.as_str(),
         StartLine::Response { .. } => "",
     };
     if id.0.len() != 16 || !id.0.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err("its id is not 16 hex digits");
+        return Err("call id is not 16 hex digits");
     }
-    let address = uri.strip_prefix("sip:").ok_or("its address is no sip address")?;
+    let address = uri.strip_prefix("sip:").ok_or("request address is not a sip: URI")?;
     let number = address.split_once('@').map_or(address, |(number, _)| number);
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.+*#".contains(&b);
-    if number.is_empty() || number.len() > 128 || !number.bytes().all(plain) {
-        return Err("the number called can't be read");
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.+*#".contains(&b);
+    if number.is_empty() || number.len() > 128 || !number.bytes().all(is_allowed) {
+        return Err("called number is invalid");
     }
-    if message.body.len() > LONGEST {
-        return Err("its description is too long");
+    if message.body.len() > MAX_DESCRIPTION_BYTES {
+        return Err("session description is too long");
     }
-    let wait = message.get("X-Deadline").and_then(|v| v.trim().parse::<f64>().ok());
-    let wait = wait.filter(|ms| ms.is_finite() && *ms > 0.0).ok_or("it has no X-Deadline")?;
+    let deadline_ms = message.get("X-Deadline").and_then(|v| v.trim().parse::<f64>().ok());
+    let deadline_ms = deadline_ms
+        .filter(|ms| ms.is_finite() && *ms > 0.0)
+        .ok_or("X-Deadline is missing or not a positive number")?;
     let attrs = message.get("X-Attrs").unwrap_or("");
     let attr = |names: [&str; 2]| {
         let mut pairs = attrs.split(';').filter_map(|pair| pair.split_once(':'));
         let value = pairs.find(|(name, _)| names.contains(&name.trim())).map(|(_, value)| value.trim());
-        value.map(|v| v.parse::<i64>().map_err(|_| "a figure of X-Attrs is no number")).transpose()
+        value.map(|v| v.parse::<i64>().map_err(|_| "a value in X-Attrs is not an integer")).transpose()
     };
     let flag = |names| match attr(names)? {
         None | Some(0) => Ok(false),
         Some(1) => Ok(true),
-        Some(_) => Err("a mark of X-Attrs is neither 0 nor 1"),
+        Some(_) => Err("a flag in X-Attrs is neither 0 nor 1"),
     };
-    let dest = attr(["dest", "far_end"])?.ok_or("it has no destination")?;
+    let dest = attr(["dest", "far_end"])?.ok_or("X-Attrs has no destination")?;
     let width = match attr(["width", "circuits"])? {
         None => 1,
-        Some(width) => u32::try_from(width).map_err(|_| "its width is no width")?,
+        Some(width) => u32::try_from(width).map_err(|_| "width in X-Attrs is out of range")?,
     };
     Ok(Request {
         id: id.clone(),
         front: Front::Platform,
         class: message.get("X-Tier").unwrap_or("").to_owned(),
         tenant: message.get("X-Tenant").map(str::to_owned),
-        ttl: wait / 1000.0,
+        ttl: deadline_ms / 1000.0,
         transit: flag(["transit", "midflow"])?,
         hop: attr(["via", "hop"])?.filter(|n| *n != -1).map(ExchangeNumber),
         re_established: flag(["again", "came_back"])?,
