--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -3,7 +3,7 @@
 mod common;
 use std::sync::Arc;
 
-use common::{office, settings};
+use common::{roster_entry, settings};
 use mallowring::calls::tenants::{Change, Tenant, Tenants};
 use mallowring::calls::{
     CallEffect, CallEvent, CallTimer, CallerCommand, ExchangeCommand, Front, RejectReason, Request, Table,
@@ -25,12 +25,12 @@
             table: Table::new(Settings { max_attempts: 4, ..settings() }, tenants, 7, Time(1000.0)),
             now: 1000.0,
         };
-        harness.handle(CallEvent::Roster { full: true, entries: (0..5).map(office).collect() });
+        harness.handle(CallEvent::Roster { full: true, entries: (0..5).map(roster_entry).collect() });
         assert!(!harness.table.informed(), "no state has arrived");
         let report =
             LoadReport { free_circuits: Some(30.0), group_size: Some(30.0), ..LoadReport::default() };
         for number in 1..5 {
-            harness.handle(CallEvent::Status { exchange: office(number).id, report });
+            harness.handle(CallEvent::Status { exchange: roster_entry(number).id, report });
         }
         assert!(harness.table.informed());
         harness
@@ -246,7 +246,7 @@
     let started = Time(harness.now + 1.0);
     harness.now += 2.0;
     harness.established_call("new");
-    let entry = RosterEntry { ready_at: Some(started), ..office(3) };
+    let entry = RosterEntry { ready_at: Some(started), ..roster_entry(3) };
     let effects = harness.handle(CallEvent::Roster { full: false, entries: vec![entry] });
     assert_eq!(caller_commands(&effects), [CallerCommand::Release { completed: false }]);
     assert_eq!(harness.table.established_count(), 1);
@@ -317,7 +317,7 @@
 fn removed_exchanges_leave_no_entries() {
     let mut harness = Harness::new();
     for n in 0..1000 {
-        let fresh = RosterEntry { id: ExchangeId(1000 + n), ..office(3) };
+        let fresh = RosterEntry { id: ExchangeId(1000 + n), ..roster_entry(3) };
         harness.handle(CallEvent::Roster { full: false, entries: vec![fresh.clone()] });
         harness.handle(CallEvent::Status { exchange: fresh.id, report: LoadReport::default() });
         let gone = RosterEntry { state: ServiceState::Removed, ..fresh };
@@ -380,14 +380,15 @@
 fn a_trunk_group_whose_state_is_no_longer_updated_is_tried() {
     let mut harness = Harness::new();
     let full = LoadReport { free_circuits: Some(0.0), group_size: Some(30.0), ..LoadReport::default() };
-    (1..5).for_each(|n| drop(harness.handle(CallEvent::Status { exchange: office(n).id, report: full })));
+    (1..5)
+        .for_each(|n| drop(harness.handle(CallEvent::Status { exchange: roster_entry(n).id, report: full })));
     assert!(matches!(
         caller_commands(&harness.handle(CallEvent::Request(harness.request("a"))))[..],
         [CallerCommand::Refuse(_)]
     ));
-    harness.handle(CallEvent::StatusLost(office(3).id));
+    harness.handle(CallEvent::StatusLost(roster_entry(3).id));
     let effects = harness.handle(CallEvent::Request(harness.request("b")));
-    assert!(effects
-        .iter()
-        .any(|c| matches!(c, CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)) if *to == office(3).id)));
+    assert!(effects.iter().any(
+        |c| matches!(c, CallEffect::Exchange(to, _, ExchangeCommand::SetUp(_)) if *to == roster_entry(3).id)
+    ));
 }
