--- a/crates/lab/benches/size.rs
+++ b/crates/lab/benches/size.rs
@@ -1,4 +1,4 @@
-//! Calls simulated per core-second, by size of the fleet: `cargo bench -p mallowring-lab`.
+//! Simulated calls per second on one core, by fleet size; run with `cargo bench -p mallowring-lab`.
 
 use std::path::Path;
 
@@ -15,7 +15,7 @@
     divan::main();
 }
 
-/// A day of so many exchanges at 90% of the planned load; shorter where there are many.
+/// A scenario of 20 s with `exchanges` exchanges at 90% of the planned load.
 fn scenario(exchanges: usize) -> Scenario {
     let seconds = 20;
     let text = format!(
@@ -24,7 +24,7 @@
     Scenario::parse(&text, Path::new("built in")).expect("the text above is a scenario")
 }
 
-/// The whole run of a day with shipped proxies; the items are first tries of callers.
+/// Simulates a day with the shipped proxies; the items are calls, without redials.
 #[divan::bench(args = [6, 20, 60, 200], sample_count = 3, sample_size = 1)]
 fn calls(bencher: Bencher, exchanges: usize) {
     let day = Day::draw(&scenario(exchanges), 1);
@@ -34,7 +34,7 @@
     });
 }
 
-/// Drawing a day and its traffic.
+/// Generates a day and its traffic.
 #[divan::bench(args = [6, 60, 200], sample_count = 3, sample_size = 1)]
 fn draw(bencher: Bencher, exchanges: usize) {
     let scenario = scenario(exchanges);
--- a/crates/lab/src/captures.rs
+++ b/crates/lab/src/captures.rs
@@ -1,4 +1,4 @@
-//! Capture files: written whole, read as far as they go, decided again.
+//! Capture files: writing them atomically, and replaying them, also when they are truncated.
 
 use std::fs;
 use std::path::Path;
@@ -10,24 +10,24 @@
 
 use crate::LabError;
 
-/// Writes a capture, whole or not at all; returns its length in bytes.
+/// Writes a capture file atomically, by way of a temporary file; returns its length in bytes.
 pub fn write(path: &Path, entries: &[Entry]) -> Result<usize, LabError> {
-    let fault = |source: CaptureError| LabError::Capture { path: path.to_owned(), source };
+    let capture_error = |source: CaptureError| LabError::Capture { path: path.to_owned(), source };
     let mut bytes = header().to_vec();
     let mut frames = FrameWriter::new();
     for entry in entries {
-        bytes.extend(frames.push(entry).map_err(fault)?.into_iter().flatten());
+        bytes.extend(frames.push(entry).map_err(capture_error)?.into_iter().flatten());
     }
     bytes.extend(frames.close().into_iter().flatten());
-    let part = path.with_extension("part");
-    fs::write(&part, &bytes).map_err(LabError::file(&part))?;
-    fs::rename(&part, path).map_err(LabError::file(path))?;
+    let temporary = path.with_extension("part");
+    fs::write(&temporary, &bytes).map_err(LabError::file(&temporary))?;
+    fs::rename(&temporary, path).map_err(LabError::file(path))?;
     Ok(bytes.len())
 }
 
-/// Decides a capture again, with other tuned values where they are given. Returns what came of it in words, and
-/// whether every decision was the same.
-pub fn decide_again(path: &Path, tuning: Option<&Tuning>) -> Result<(String, bool), LabError> {
+/// Replays a capture file, with `tuning` in place of the captured tuning if given. Returns a report, and whether
+/// every decision was the same as recorded.
+pub fn replay_file(path: &Path, tuning: Option<&Tuning>) -> Result<(String, bool), LabError> {
     let bytes = fs::read(path).map_err(LabError::file(path))?;
     let mut capture =
         read_capture(&bytes).map_err(|source| LabError::Capture { path: path.to_owned(), source })?;
@@ -36,33 +36,33 @@
             start.tuning = tuning.clone();
         }
     }
-    let done = replay(&capture.entries);
+    let outcome = replay(&capture.entries);
     let mut text = format!(
-        "{}: {} inputs decided again, {} commands the same",
+        "{}: {} inputs replayed, {} commands identical",
         path.display(),
-        done.events,
-        done.effects
+        outcome.events,
+        outcome.effects
     );
     if let CaptureEnd::Truncated { offset, missing_bytes: bytes, missing_entries: entries } = capture.end {
         let missing = match (bytes, entries) {
             (Some(bytes), Some(entries)) => format!("{bytes} bytes and {entries} entries are missing"),
-            _ => "how much is missing is not known".to_owned(),
+            _ => "the missing amount is unknown".to_owned(),
         };
-        text.push_str(&format!("; cut off in the frame at byte {offset}: {missing}"));
+        text.push_str(&format!("; truncated in the frame at byte {offset}: {missing}"));
     }
-    if done.dropped_entries > 0 {
-        text.push_str(&format!("; {} entries were dropped when it was made", done.dropped_entries));
+    if outcome.dropped_entries > 0 {
+        text.push_str(&format!("; {} entries were dropped during recording", outcome.dropped_entries));
     }
-    if done.skipped_entries > 0 {
+    if outcome.skipped_entries > 0 {
         text.push_str(&format!(
-            "; {} entries passed over for want of a start before them",
-            done.skipped_entries
+            "; {} entries before the first start entry were skipped",
+            outcome.skipped_entries
         ));
     }
-    let same = done.difference.is_none();
-    if let Some(d) = done.difference {
+    let same = outcome.difference.is_none();
+    if let Some(d) = outcome.difference {
         text.push_str(&format!(
-            "\n  the first difference, at {:.4} s, entry {}:\n  told  {:?}\n  then  {:?}\n  now   {:?}",
+            "\n  first difference, at {:.4} s, entry {}:\n  input     {:?}\n  recorded  {:?}\n  replayed  {:?}",
             d.entry.at.0, d.entry.seq, d.entry.kind, d.recorded, d.replayed
         ));
     }
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -1,5 +1,5 @@
-//! Arguments, output and exit codes: 0 done, 1 a finding (a rule broken, a candidate worse, theory missed, a twin
-//! that decides differently), 2 an error.
+//! Command line: arguments, output and exit codes. Exit code 0 means success, 1 a finding (a broken rule, a worse
+//! candidate, a failed check against theory, a twin run with different decisions) and 2 an error.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 use crate::scenario::Scenario;
 use crate::study::stats::Verdict;
 use crate::study::sweep::{self, Axis};
-use crate::study::{compare, keep, play, table, verify, Arm};
+use crate::study::{compare, keep, run_arms, table, verify, Arm};
 use crate::traffic::{generate, recorded};
 use crate::world::{run, DayResult};
 use crate::LabError;
@@ -27,15 +27,15 @@
 #[command(name = "mallowring-lab", version)]
 pub struct Cli {
     #[command(subcommand)]
-    command: Task,
-    /// Threads; results do not depend on them. All cores where it is not given.
+    command: Command,
+    /// Number of threads; the results do not depend on it. Default: all cores.
     #[arg(long, global = true)]
     threads: Option<usize>,
 }
 
 #[derive(Debug, Args)]
 struct Days {
-    /// How many days to play; each has a seed of its own.
+    /// Number of days to simulate; each day has its own seed.
     #[arg(long, default_value_t = 10)]
     days: u64,
     /// Seed of the first day.
@@ -50,54 +50,54 @@
 }
 
 #[derive(Debug, Subcommand)]
-enum Task {
-    /// Plays days of a scenario and prints their service.
+enum Command {
+    /// Simulates days of a scenario and prints their service figures.
     Run {
-        /// A scenario file; a calm day of six exchanges where it is not given.
+        /// A scenario file. Default: a day of six exchanges with a moderate load and no trouble.
         scenario: Option<PathBuf>,
         #[command(flatten)]
         days: Days,
-        /// A built-in candidate, or a file that describes one.
+        /// A built-in candidate, or a candidate file.
         #[arg(long, default_value = "today")]
         candidate: String,
-        /// Calls from a CSV file in place of drawn ones.
+        /// Reads the calls from a CSV file instead of generating them.
         #[arg(long)]
         traffic: Option<PathBuf>,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Plays one day and prints all that proxies were told and commanded about some calls.
+    /// Simulates one day and prints all proxy inputs and commands that concern the given calls.
     Follow {
         /// A scenario file.
         scenario: PathBuf,
-        /// Ids of the calls, as a broken rule names them.
+        /// Ids of the calls, as reported with a broken rule.
         #[arg(required = true)]
         calls: Vec<String>,
-        /// Its day.
+        /// Seed of the day.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// A built-in candidate, or a file that describes one.
+        /// A built-in candidate, or a candidate file.
         #[arg(long, default_value = "today")]
         candidate: String,
     },
-    /// Plays the same days with a baseline and with candidates, and says which is better.
+    /// Simulates the same days with a baseline and with candidates, and compares the results.
     Compare {
-        /// Scenario files; each is compared on its own.
+        /// Scenario files; each gets a comparison of its own.
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
-        /// Built-in candidates, or files that describe them.
+        /// Built-in candidates, or candidate files.
         #[arg(long, required = true, value_delimiter = ',')]
         candidate: Vec<String>,
-        /// What they are compared with.
+        /// The candidate to compare with.
         #[arg(long, default_value = "today")]
         baseline: String,
         #[command(flatten)]
         days: Days,
-        /// Calls from a CSV file in place of drawn ones.
+        /// Reads the calls from a CSV file instead of generating them.
         #[arg(long)]
         traffic: Option<PathBuf>,
-        /// Keeps tables and charts in the folder beside each scenario file that is named like it.
+        /// Writes tables and charts to a folder next to each scenario file, named like the file without its extension.
         #[arg(long)]
         keep: bool,
         /// Prints JSON.
@@ -107,14 +107,14 @@
         #[arg(long)]
         csv: bool,
     },
-    /// Plays a scenario with one or two keys over values.
+    /// Simulates a scenario for each combination of values of one or more keys.
     Sweep {
         /// A scenario file.
         scenario: PathBuf,
-        /// `load.offered=0.7,0.9`, `tuning.abate=0.55,0.6`, or any other key of a scenario or of the tuning.
+        /// A key and its values, such as `load.offered=0.7,0.9` or `tuning.abate=0.55,0.6`; any scenario or tuning key.
         #[arg(long = "set", required = true)]
         set: Vec<String>,
-        /// A built-in candidate, or a file that describes one.
+        /// A built-in candidate, or a candidate file.
         #[arg(long, default_value = "today")]
         candidate: String,
         #[command(flatten)]
@@ -123,36 +123,36 @@
         #[arg(long)]
         json: bool,
     },
-    /// Holds the model against theory.
+    /// Checks the model against queueing theory.
     Verify {
-        /// Length of the runs; below 1 is quicker and wider.
+        /// Length of the runs; values below 1 run faster and give wider intervals.
         #[arg(long, default_value_t = 1.0)]
         scale: f64,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Calls differences where there are none by construction: the same build with two seeds of the module, many
-    /// times over. About 5 in 100 are expected.
+    /// Measures the false positive rate: compares the same build with itself under two controller seeds, many times.
+    /// About 5 in 100 comparisons are expected to differ.
     Aa {
         /// A scenario file.
         scenario: PathBuf,
-        /// Comparisons.
+        /// Number of comparisons.
         #[arg(long, default_value_t = 40)]
         times: u64,
-        /// Days of each.
+        /// Days of each comparison.
         #[arg(long, default_value_t = 6)]
         days: u64,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Drives the shipped call table and a program on the simulator's wire side by side with the same inputs, and
-    /// lists where they decide differently.
+    /// Gives the shipped call table and a program on the simulator's wire the same inputs, and lists where their
+    /// decisions differ.
     Twin {
         /// A scenario file.
         scenario: PathBuf,
-        /// The program with its arguments, as `target/release/mallowring-drill`.
+        /// The program with its arguments, for example `target/release/mallowring-drill`.
         #[arg(long, required = true, num_args = 1..)]
         program: Vec<String>,
         #[command(flatten)]
@@ -161,49 +161,49 @@
         #[arg(long)]
         json: bool,
     },
-    /// Prints a kept comparison again and draws its charts anew.
+    /// Prints a stored comparison and writes its tables and charts again.
     Report {
-        /// A folder with a `comparison.json`.
+        /// A folder that contains `comparison.json`.
         dir: PathBuf,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Plays one day and keeps the capture of one proxy: all it was told, and what it commanded upon that.
+    /// Simulates one day and writes the capture of one proxy: its inputs and its commands.
     Capture {
         /// A scenario file.
         scenario: PathBuf,
-        /// Its day.
+        /// Seed of the day.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The proxy, from 0.
+        /// Index of the proxy, from 0.
         #[arg(long, default_value_t = 0)]
         proxy: usize,
         /// The file to write.
         #[arg(long)]
         out: PathBuf,
     },
-    /// Decides captures again: the same one for one, or the first decision that differs.
+    /// Replays captures and reports the first decision that differs, if any.
     Replay {
         /// Capture files.
         #[arg(required = true)]
         captures: Vec<PathBuf>,
-        /// Decides with the tuned values of this candidate in place of those that were captured.
+        /// Replays with the tuning of this candidate instead of the captured one.
         #[arg(long)]
         candidate: Option<String>,
     },
-    /// Writes the calls of a scenario's day as a traffic file.
+    /// Writes the calls of one day of a scenario to a traffic file.
     Traffic {
         /// A scenario file.
         scenario: PathBuf,
-        /// Its day.
+        /// Seed of the day.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// The file to write.
         #[arg(long)]
         out: PathBuf,
     },
-    /// Checks scenario files without playing them.
+    /// Checks scenario files without simulating them.
     Check {
         /// Scenario files.
         #[arg(required = true)]
@@ -211,7 +211,7 @@
     },
     /// Prints the JSON schema of scenario files, or of candidate files.
     Schema {
-        /// Of candidate files.
+        /// Prints the schema of candidate files.
         #[arg(long)]
         candidate: bool,
     },
@@ -223,17 +223,17 @@
     },
 }
 
-/// The scenario that is played where none is named.
-const CALM: &str = include_str!("../../../experiments/quiet.toml");
+/// The scenario of `run` when no file is given.
+const DEFAULT_SCENARIO: &str = include_str!("../../../experiments/quiet.toml");
 
 /// Runs the program.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Some(threads) = cli.threads {
-        // Set once, before any is used.
+        // This fails only if a global pool exists already; none does at this point.
         let _ = rayon::ThreadPoolBuilder::new().num_threads(threads).build_global();
     }
-    match perform(cli.command) {
+    match execute(cli.command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
@@ -243,40 +243,41 @@
     }
 }
 
-fn bar(what: &str) -> ProgressBar {
+fn progress_bar(what: &str) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
-    let bar = ProgressBar::new(0).with_message(what.to_owned());
-    // The template is a constant of ours.
+    let progress_bar = ProgressBar::new(0).with_message(what.to_owned());
+    // The template is constant and valid.
     if let Ok(style) = ProgressStyle::with_template("{msg} {bar:30} {pos}/{len} days, {eta} left") {
-        bar.set_style(style);
+        progress_bar.set_style(style);
     }
-    bar.enable_steady_tick(Duration::from_millis(200));
-    bar
+    progress_bar.enable_steady_tick(Duration::from_millis(200));
+    progress_bar
 }
 
-fn read(scenario: Option<&Path>) -> Result<Scenario, LabError> {
+fn read_scenario(scenario: Option<&Path>) -> Result<Scenario, LabError> {
     match scenario {
         Some(path) => Scenario::read(path),
-        None => Scenario::parse(CALM, Path::new("quiet.toml")),
+        None => Scenario::parse(DEFAULT_SCENARIO, Path::new("quiet.toml")),
     }
 }
 
-/// Prints to standard output; whoever has closed it wants no more.
-fn say(text: &str) {
+/// Prints to standard output. Write errors are ignored, as the reader may have closed the pipe.
+fn print_text(text: &str) {
     use std::io::Write;
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
 }
 
-fn findings(arm: &str, days: &[DayResult]) -> bool {
+/// Prints conservation errors of the model and broken rules to standard error; returns whether there are any.
+fn report_findings(arm: &str, days: &[DayResult]) -> bool {
     for day in days {
         for leak in &day.leaks {
-            eprintln!("mallowring-lab: {arm}, seed {}: the model leaks: {leak}", day.seed);
+            eprintln!("mallowring-lab: {arm}, seed {}: conservation error in the model: {leak}", day.seed);
         }
         if day.broken_rules > 0 {
             eprintln!(
-                "mallowring-lab: {arm}, seed {}: {} broken rules, so the day counts 0; the first:",
+                "mallowring-lab: {arm}, seed {}: {} broken rules, so the day counts as 0; the first ones:",
                 day.seed, day.broken_rules
             );
             for b in day.broken.iter().take(3) {
@@ -289,27 +290,28 @@
     days.iter().any(|d| d.broken_rules > 0 || !d.leaks.is_empty())
 }
 
-fn perform(task: Task) -> Result<bool, LabError> {
-    match task {
-        Task::Run { scenario, days, candidate, traffic, json } => {
-            let scenario = read(scenario.as_deref())?;
+fn execute(command: Command) -> Result<bool, LabError> {
+    match command {
+        Command::Run { scenario, days, candidate, traffic, json } => {
+            let scenario = read_scenario(scenario.as_deref())?;
             let arms = [Arm::named(&candidate)?];
-            let mut played = play(&scenario, &arms, &days.seeds(), traffic.as_deref(), &bar(&scenario.name))?;
+            let mut played =
+                run_arms(&scenario, &arms, &days.seeds(), traffic.as_deref(), &progress_bar(&scenario.name))?;
             let played = played.pop().unwrap_or_default();
             if json {
-                say(&keep::json(&played));
+                print_text(&keep::to_json(&played));
             } else {
-                say(&format!(
+                print_text(&format!(
                     "{}: {}\n\n{}\n\n{}",
                     scenario.name,
                     scenario.about,
-                    table::days(&scenario, &played),
-                    table::aside(&scenario, &played)
+                    table::days_table(&scenario, &played),
+                    table::secondary_table(&scenario, &played)
                 ));
             }
-            Ok(!findings(&candidate, &played))
+            Ok(!report_findings(&candidate, &played))
         }
-        Task::Compare { scenarios, candidate, baseline, days, traffic, keep: kept, json, csv } => {
+        Command::Compare { scenarios, candidate, baseline, days, traffic, keep: keep_files, json, csv } => {
             let mut arms = vec![Arm::named(&baseline)?];
             for name in &candidate {
                 arms.push(Arm::named(name)?);
@@ -318,24 +320,25 @@
                 .into_iter()
                 .map(|path| Scenario::read(&path).map(|s| (path, s)))
                 .collect::<Result<_, _>>()?;
-            let mut fine = true;
+            let mut passed = true;
             for (path, scenario) in read {
                 let seeds = days.seeds();
-                let played = play(&scenario, &arms, &seeds, traffic.as_deref(), &bar(&scenario.name))?;
+                let played =
+                    run_arms(&scenario, &arms, &seeds, traffic.as_deref(), &progress_bar(&scenario.name))?;
                 let result = compare::compare(&scenario, &seeds, &arms, &played);
-                arms.iter().zip(&played).for_each(|(arm, days)| fine &= !findings(&arm.name, days));
+                arms.iter().zip(&played).for_each(|(arm, days)| passed &= !report_findings(&arm.name, days));
                 let worse =
                     |c: &compare::Candidate| c.figures.first().is_some_and(|f| f.verdict == Verdict::Worse);
-                fine &= !result.candidates.iter().any(worse);
-                if kept {
-                    keep::comparison(&path.with_extension(""), &result)?;
+                passed &= !result.candidates.iter().any(worse);
+                if keep_files {
+                    keep::write_comparison(&path.with_extension(""), &result)?;
                 }
                 if json {
-                    say(&keep::json(&result));
+                    print_text(&keep::to_json(&result));
                 } else if csv {
-                    say(&table::comparison_csv(&result));
+                    print_text(&table::comparison_csv(&result));
                 } else {
-                    say(&format!(
+                    print_text(&format!(
                         "{}: {}\n{} days, {} calls\n\n{}",
                         scenario.name,
                         scenario.about,
@@ -345,19 +348,19 @@
                     ));
                 }
             }
-            Ok(fine)
+            Ok(passed)
         }
-        Task::Follow { scenario, calls, seed, candidate } => {
+        Command::Follow { scenario, calls, seed, candidate } => {
             let scenario = Scenario::read(&scenario)?;
             let arm = Arm::named(&candidate)?;
             let day = Day::draw(&scenario, seed);
             let calls = calls.into_iter().map(CallId).collect();
             let mut seats = Follow::new(arm.seats()?, calls);
             let result = run(&day, &generate(&day), &mut seats, arm.salt)?;
-            say(&seats.lines.join("\n"));
-            Ok(!findings(&arm.name, &[result]))
+            print_text(&seats.lines.join("\n"));
+            Ok(!report_findings(&arm.name, &[result]))
         }
-        Task::Sweep { scenario, set, candidate, days, json } => {
+        Command::Sweep { scenario, set, candidate, days, json } => {
             let scenario = Scenario::read(&scenario)?;
             let axes: Vec<Axis> = set.iter().map(|s| s.parse()).collect::<Result<_, _>>()?;
             let points = sweep::grid(&scenario, &Arm::named(&candidate)?, &axes)?;
@@ -365,29 +368,31 @@
             for point in &points {
                 let name = point.values.join(", ");
                 let arms = std::slice::from_ref(&point.arm);
-                let played = play(&point.scenario, arms, &days.seeds(), None, &bar(&name))?;
-                swept.push(sweep::sum_up(point, played.first().map_or(&[], Vec::as_slice)));
+                let played = run_arms(&point.scenario, arms, &days.seeds(), None, &progress_bar(&name))?;
+                swept.push(sweep::summarize(point, played.first().map_or(&[], Vec::as_slice)));
             }
-            say(&if json { keep::json(&swept) } else { sweep::text(&axes, &swept) });
+            print_text(&if json { keep::to_json(&swept) } else { sweep::format_table(&axes, &swept) });
             Ok(swept.iter().all(|s| s.broken_days == 0))
         }
-        Task::Verify { scale, json } => {
+        Command::Verify { scale, json } => {
             if !(scale > 0.0 && scale <= 100.0) {
-                return Err(LabError::Argument("--scale: want a number above 0, at most 100".to_owned()));
+                return Err(LabError::Argument(
+                    "--scale: expected a number above 0 and at most 100".to_owned(),
+                ));
             }
             let verification = verify::verify(scale)?;
-            say(&if json { keep::json(&verification) } else { verification.text() });
+            print_text(&if json { keep::to_json(&verification) } else { verification.text() });
             Ok(verification.holds())
         }
-        Task::Aa { scenario, times, days, json } => aa(&scenario, times, days, json),
-        Task::Twin { scenario, program, days, json } => twin(&scenario, &program, &days, json),
-        Task::Report { dir, json } => {
-            let result = keep::read(&dir)?;
-            keep::comparison(&dir, &result)?;
-            say(&if json { keep::json(&result) } else { table::comparison(&result) });
+        Command::Aa { scenario, times, days, json } => run_aa(&scenario, times, days, json),
+        Command::Twin { scenario, program, days, json } => run_twin(&scenario, &program, &days, json),
+        Command::Report { dir, json } => {
+            let result = keep::read_comparison(&dir)?;
+            keep::write_comparison(&dir, &result)?;
+            print_text(&if json { keep::to_json(&result) } else { table::comparison(&result) });
             Ok(true)
         }
-        Task::Capture { scenario, seed, proxy, out } => {
+        Command::Capture { scenario, seed, proxy, out } => {
             let scenario = Scenario::read(&scenario)?;
             let day = Day::draw(&scenario, seed);
             let mut seats = Recorded::new(Tuning::default());
@@ -396,75 +401,84 @@
                 return Err(LabError::Argument(format!("--proxy {proxy}: the day has {} proxies", day.n)));
             };
             let bytes = captures::write(&out, &entries)?;
-            say(&format!("{} entries, {bytes} bytes in {}", entries.len(), out.display()));
-            Ok(!findings("today", &[result]))
+            print_text(&format!("{} entries, {bytes} bytes in {}", entries.len(), out.display()));
+            Ok(!report_findings("today", &[result]))
         }
-        Task::Replay { captures, candidate } => {
+        Command::Replay { captures, candidate } => {
             let tuning = candidate.as_deref().map(Arm::named).transpose()?.map(|arm| arm.tuning);
-            let mut same = true;
+            let mut all_identical = true;
             for path in captures {
-                let (text, alike) = captures::decide_again(&path, tuning.as_ref())?;
-                say(&text);
-                same &= alike;
+                let (text, identical) = captures::replay_file(&path, tuning.as_ref())?;
+                print_text(&text);
+                all_identical &= identical;
             }
-            Ok(same)
+            Ok(all_identical)
         }
-        Task::Traffic { scenario, seed, out } => {
+        Command::Traffic { scenario, seed, out } => {
             let scenario = Scenario::read(&scenario)?;
             let day = Day::draw(&scenario, seed);
             let callers = generate(&day);
             recorded::write(&out, &day, &callers)?;
-            say(&format!("{} calls of {} exchanges in {}", callers.len(), day.n, out.display()));
+            print_text(&format!("{} calls of {} exchanges in {}", callers.len(), day.n, out.display()));
             Ok(true)
         }
-        Task::Check { scenarios } => {
+        Command::Check { scenarios } => {
             for path in scenarios {
                 let scenario = Scenario::read(&path)?;
-                say(&format!("{}: {} is fine", path.display(), scenario.name));
+                print_text(&format!("{}: {} is fine", path.display(), scenario.name));
             }
             Ok(true)
         }
-        Task::Schema { candidate } => {
+        Command::Schema { candidate } => {
             let schema = if candidate { schemars::schema_for!(Arm) } else { Scenario::schema() };
-            say(&keep::json(&schema));
+            print_text(&keep::to_json(&schema));
             Ok(true)
         }
-        Task::Candidates { json } => {
+        Command::Candidates { json } => {
             let arms = Arm::built_in();
             let rows = arms.iter().map(|a| vec![a.name.clone(), a.about.clone()]).collect();
-            say(&if json { keep::json(&arms) } else { table::plain(&["candidate", "what it is"], rows) });
+            print_text(&if json {
+                keep::to_json(&arms)
+            } else {
+                table::plain(&["candidate", "what it is"], rows)
+            });
             Ok(true)
         }
     }
 }
 
-fn aa(path: &Path, times: u64, days: u64, json: bool) -> Result<bool, LabError> {
+/// Compares the shipped proxies with themselves under two controller seeds and counts the differences found.
+fn run_aa(path: &Path, times: u64, days: u64, json: bool) -> Result<bool, LabError> {
     let scenario = Scenario::read(path)?;
     let arm = |salt: u64| Arm { salt, ..Arm::tuned("today", "what ships", Tuning::default()) };
-    let (mut called, mut all) = (std::collections::BTreeMap::<String, u64>::new(), 0);
-    let progress = bar("A/A");
-    for time in 0..times {
-        let seeds: Vec<u64> = (0..days).map(|d| 1 + time * days + d).collect();
-        let arms = [arm(2 * time), arm(2 * time + 1)];
-        let played = play(&scenario, &arms, &seeds, None, &progress)?;
+    let (mut differing, mut comparisons) = (std::collections::BTreeMap::<String, u64>::new(), 0);
+    let progress = progress_bar("A/A");
+    for repeat in 0..times {
+        let seeds: Vec<u64> = (0..days).map(|d| 1 + repeat * days + d).collect();
+        let arms = [arm(2 * repeat), arm(2 * repeat + 1)];
+        let played = run_arms(&scenario, &arms, &seeds, None, &progress)?;
         let result = compare::compare(&scenario, &seeds, &arms, &played);
-        all += 1;
+        comparisons += 1;
         for figure in result.candidates.iter().flat_map(|c| &c.figures) {
-            *called.entry(figure.name.clone()).or_insert(0) +=
+            *differing.entry(figure.name.clone()).or_insert(0) +=
                 u64::from(figure.verdict != Verdict::NoDifference);
         }
     }
     if json {
-        say(&keep::json(&serde_json::json!({"comparisons": all, "called": called})));
+        print_text(&keep::to_json(&serde_json::json!({"comparisons": comparisons, "called": differing})));
     } else {
-        let share = |n: u64| format!("{:.1}%", n as f64 / (all as f64).max(1.0) * 100.0);
-        let rows = called.iter().map(|(name, n)| vec![name.clone(), n.to_string(), share(*n)]).collect();
-        say(&format!("{all} comparisons of {days} days\n\n{}", table::plain(&["", "called", "share"], rows)));
+        let share = |n: u64| format!("{:.1}%", n as f64 / (comparisons as f64).max(1.0) * 100.0);
+        let rows = differing.iter().map(|(name, n)| vec![name.clone(), n.to_string(), share(*n)]).collect();
+        print_text(&format!(
+            "{comparisons} comparisons of {days} days\n\n{}",
+            table::plain(&["", "called", "share"], rows)
+        ));
     }
     Ok(true)
 }
 
-fn twin(path: &Path, program: &[String], days: &Days, json: bool) -> Result<bool, LabError> {
+/// Runs the shipped call table and a program on the same inputs and prints the differences of their decisions.
+fn run_twin(path: &Path, program: &[String], days: &Days, json: bool) -> Result<bool, LabError> {
     let scenario = Scenario::read(path)?;
     let (mut decisions, mut differences) = (0, Vec::new());
     for seed in days.seeds() {
@@ -477,9 +491,12 @@
         differences.extend(seats.differences.into_iter().map(|d| (seed, d)));
     }
     if json {
-        say(&keep::json(&serde_json::json!({"decisions": decisions, "differences": differences})));
+        print_text(&keep::to_json(&serde_json::json!({"decisions": decisions, "differences": differences})));
     } else {
-        say(&format!("{decisions} decisions compared, {} proxies decided differently", differences.len()));
+        print_text(&format!(
+            "{decisions} decisions compared, {} proxies decided differently",
+            differences.len()
+        ));
         let rows = differences.iter().take(20).map(|(seed, d)| {
             vec![
                 seed.to_string(),
@@ -491,7 +508,7 @@
             ]
         });
         if !differences.is_empty() {
-            say(&table::plain(&["seed", "at", "proxy", "call", "table", "program"], rows.collect()));
+            print_text(&table::plain(&["seed", "at", "proxy", "call", "table", "program"], rows.collect()));
         }
     }
     Ok(differences.is_empty())
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,5 +1,4 @@
-//! What can go wrong outside the model itself. Each message names the file, and the line and key where there are
-//! some.
+//! Errors of the lab. Each message names the file, and the line and key if they are known.
 
 use std::path::PathBuf;
 
@@ -8,77 +7,77 @@
 /// An error that ends a command, with exit code 2.
 #[derive(Debug, Error)]
 pub enum LabError {
-    /// A file can't be read or written.
+    /// Reading or writing a file failed.
     #[error("{path}: {source}")]
     File {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the error.
         source: std::io::Error,
     },
-    /// A key of a file is missing, unknown or out of its range.
+    /// A key of a file is missing, unknown or out of range.
     #[error("{path}:{line}: {key}: {what}")]
     Key {
         /// The file.
         path: PathBuf,
         /// The line, from 1.
         line: usize,
-        /// The key with the tables above it.
+        /// The dotted path of the key.
         key: String,
-        /// What is wrong.
+        /// Description of the error.
         what: String,
     },
-    /// Keys that are fine one by one make no sense together.
+    /// A value is invalid or contradicts the value of another key; found after parsing, without a line number.
     #[error("{path}: {key}: {what}")]
-    Sense {
+    InvalidValue {
         /// The file.
         path: PathBuf,
         /// The key.
         key: String,
-        /// What is wrong.
+        /// Description of the error.
         what: String,
     },
-    /// A line of a traffic file can't be used.
+    /// A record of a traffic file is invalid.
     #[error("{path}: record {record}: {what}")]
     Traffic {
         /// The file.
         path: PathBuf,
-        /// Its record, from 1 after the header.
+        /// Number of the record, from 1; the header is not counted.
         record: u64,
-        /// What is wrong.
+        /// Description of the error.
         what: String,
     },
-    /// A candidate that is a program has died, is silent or says what makes no sense.
+    /// A candidate program exited, timed out or sent an invalid message.
     #[error("candidate '{name}': {what}")]
     Program {
-        /// The candidate.
+        /// Name of the candidate.
         name: String,
-        /// What is wrong.
+        /// Description of the error.
         what: String,
     },
-    /// A capture can't be read or written.
+    /// Decoding or encoding a capture failed.
     #[error("{path}: {source}")]
     Capture {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the error.
         source: mallowring::capture::frame::CaptureError,
     },
-    /// An argument means nothing.
+    /// An argument is invalid.
     #[error("{0}")]
     Argument(String),
-    /// A chart can't be drawn.
+    /// Drawing a chart failed.
     #[error("{path}: {what}")]
     Chart {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the error.
         what: String,
     },
 }
 
 impl LabError {
-    /// A file error at a path.
+    /// Converts an I/O error of the file at `path`.
     pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(std::io::Error) -> LabError {
         let path = path.into();
         move |source| LabError::File { path, source }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,9 +1,10 @@
-//! A model of the whole fleet: exchanges, trunk groups, processors, callers and troubles in simulated time, with
-//! the shipped signalling proxies in their seats. It compares two settings or two versions side by side and says
-//! with what certainty they differ.
+//! Simulation of the whole fleet: exchanges, trunk groups, processors, callers and failures in simulated time,
+//! controlled by the shipped signalling proxies or by a candidate program. It compares two settings or two versions
+//! on the same days, with confidence intervals.
 //!
-//! One seed gives one result, byte for byte, on any number of threads: there is no wall clock and no socket here,
-//! and every random draw comes from a stream named by its purpose ([`random`]).
+//! The results are deterministic: the same seed gives the same result, byte for byte, on any number of threads. The
+//! model uses no wall clock and no sockets, and draws every random number from a stream of its own purpose
+//! ([`random`]).
 
 pub mod captures;
 pub mod cli;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `mallowring-lab`: see `mallowring-lab --help`.
+//! Entry point of `mallowring-lab`; see `mallowring-lab --help`.
 
 use std::process::ExitCode;
 
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -508,7 +508,11 @@
     /// What no single key shows.
     fn check(&self, path: &Path) -> Result<(), LabError> {
         let sense = |key: &str, what: &str| {
-            Err(LabError::Sense { path: PathBuf::from(path), key: key.to_owned(), what: what.to_owned() })
+            Err(LabError::InvalidValue {
+                path: PathBuf::from(path),
+                key: key.to_owned(),
+                what: what.to_owned(),
+            })
         };
         let n = self.fleet.exchanges;
         if n.least() < 2.0 || n.most() > 1000.0 {
--- a/crates/lab/src/study/arm.rs
+++ b/crates/lab/src/study/arm.rs
@@ -1,4 +1,4 @@
-//! What is compared: the shipped proxies with some tuned values, or a program that speaks the wire.
+//! Arms of a comparison: the shipped proxies with some tuning, or a program that speaks the simulator's protocol.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -11,36 +11,36 @@
 use crate::scenario::read_toml;
 use crate::LabError;
 
-/// The longest wait for one answer of a program, real time.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an answer of a candidate program, in wall-clock time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A version of the proxies.
+/// A version of the proxies to simulate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Arm {
-    /// Its name.
+    /// Name of the candidate.
     pub name: String,
-    /// What it is.
+    /// Description of the candidate.
     #[serde(default)]
     pub about: String,
-    /// Tuned values that differ from the shipped ones.
+    /// Tuning; a key that is left out has its shipped value.
     #[serde(default)]
     pub tuning: Tuning,
-    /// In place of the shipped proxies: a program that speaks the simulator's wire, with its arguments.
+    /// A program with its arguments that speaks the simulator's protocol and replaces the shipped proxies.
     #[serde(default)]
     pub program: Vec<String>,
-    /// Changes the seeds of the proxies, and nothing else of a day.
+    /// Changes the seeds of the proxies; everything else of a day stays the same.
     #[serde(default)]
     pub salt: u64,
 }
 
 impl Arm {
-    /// The shipped proxies with other tuned values.
+    /// The shipped proxies with the given tuning.
     pub fn tuned(name: &str, about: &str, tuning: Tuning) -> Self {
         Arm { name: name.to_owned(), about: about.to_owned(), tuning, program: Vec::new(), salt: 0 }
     }
 
-    /// Those that are built in: what ships, changes known to be bad, and one that changes nothing.
+    /// The built-in candidates: the shipped tuning, changes that are known to be worse, and one with other seeds only.
     pub fn built_in() -> Vec<Arm> {
         let t = Tuning::default;
         vec![
@@ -69,7 +69,7 @@
         ]
     }
 
-    /// The built-in one of this name, or what a file describes.
+    /// Returns the built-in candidate of this name, or reads a candidate file.
     pub fn named(name: &str) -> Result<Self, LabError> {
         if let Some(arm) = Arm::built_in().into_iter().find(|a| a.name == name) {
             return Ok(arm);
@@ -77,36 +77,41 @@
         let path = Path::new(name);
         if path.extension().is_none() {
             let names: Vec<String> = Arm::built_in().into_iter().map(|a| a.name).collect();
-            let what =
-                format!("there is no candidate '{name}': name a TOML file, or one of {}", names.join(", "));
+            let what = format!(
+                "there is no candidate '{name}': expected a TOML file or one of {}",
+                names.join(", ")
+            );
             return Err(LabError::Argument(what));
         }
         let arm: Arm = read_toml(path)?;
-        let sense = |key: &str, what: String| {
-            Err(LabError::Sense { path: PathBuf::from(path), key: key.to_owned(), what })
+        let invalid = |key: &str, what: String| {
+            Err(LabError::InvalidValue { path: PathBuf::from(path), key: key.to_owned(), what })
         };
         if !arm.program.is_empty() && arm.tuning != Tuning::default() {
-            return sense("tuning", "a program has its own tuned values".to_owned());
+            return invalid(
+                "tuning",
+                "not allowed together with a program, which has its own tuning".to_owned(),
+            );
         }
-        match arm.fault() {
-            Some((key, what)) => sense(&format!("tuning.{key}"), what),
+        match arm.invalid_tuning() {
+            Some((key, what)) => invalid(&format!("tuning.{key}"), what),
             None => Ok(arm),
         }
     }
 
-    /// A tuned value that makes no sense.
-    fn fault(&self) -> Option<(String, String)> {
+    /// Returns the key of an invalid tuning value and a description of the error.
+    fn invalid_tuning(&self) -> Option<(String, String)> {
         let values = serde_json::to_value(&self.tuning).ok()?;
         for (key, value) in values.as_object()? {
             let numbers = value.as_array().cloned().unwrap_or_else(|| vec![value.clone()]);
-            let bad = |v: &serde_json::Value| !v.as_f64().is_some_and(|x| x.is_finite() && x >= 0.0);
-            if numbers.iter().any(bad) {
-                return Some((key.clone(), "want a number of 0 or above".to_owned()));
+            let is_invalid = |v: &serde_json::Value| !v.as_f64().is_some_and(|x| x.is_finite() && x >= 0.0);
+            if numbers.iter().any(is_invalid) {
+                return Some((key.clone(), "expected a number of 0 or above".to_owned()));
             }
         }
         let t = &self.tuning;
         if t.refused.iter().any(|share| *share > 1.0) {
-            return Some(("refused".to_owned(), "want shares from 0 to 1".to_owned()));
+            return Some(("refused".to_owned(), "expected shares from 0 to 1".to_owned()));
         }
         if t.onset_min > t.onset_max {
             return Some(("onset_min".to_owned(), "is above onset_max".to_owned()));
@@ -116,17 +121,17 @@
             return Some(("abate".to_owned(), what.to_owned()));
         }
         if t.most_tries == 0 {
-            return Some(("most_tries".to_owned(), "want 1 or more".to_owned()));
+            return Some(("most_tries".to_owned(), "expected 1 or more".to_owned()));
         }
         None
     }
 
-    /// A fleet of it.
+    /// Creates the proxies of this arm for one simulated day.
     pub fn seats(&self) -> Result<Box<dyn Seats>, LabError> {
         if self.program.is_empty() {
             Ok(Box::new(Shipped::new(self.tuning.clone())))
         } else {
-            Ok(Box::new(Wire::start(&self.name, &self.program, PATIENCE)?))
+            Ok(Box::new(Wire::start(&self.name, &self.program, ANSWER_TIMEOUT)?))
         }
     }
 }
--- a/crates/lab/src/study/chart.rs
+++ b/crates/lab/src/study/chart.rs
@@ -1,4 +1,4 @@
-//! Charts as SVG: figures with error bars, and series by second.
+//! SVG charts of a comparison: figures with error bars, and time series by second.
 
 use std::path::PathBuf;
 
@@ -7,6 +7,7 @@
 use super::compare::{Comparison, Second};
 use crate::LabError;
 
+/// Width and height of a chart, in pixels.
 const SIZE: (u32, u32) = (960, 480);
 const COLOURS: [RGBColor; 6] = [
     RGBColor(40, 40, 40),
@@ -21,11 +22,12 @@
     COLOURS[ix % COLOURS.len()]
 }
 
-fn fault<E: std::fmt::Display>(name: &str) -> impl Fn(E) -> LabError + '_ {
+fn chart_error<E: std::fmt::Display>(name: &str) -> impl Fn(E) -> LabError + '_ {
     move |e| LabError::Chart { path: PathBuf::from(name), what: e.to_string() }
 }
 
-/// The candidates' differences from the baseline with their intervals: service, its parts, classes and subscribers.
+/// Chart of each candidate's differences from the baseline with their intervals: service, its parts, classes and
+/// tenants.
 pub fn figures(c: &Comparison) -> Result<String, LabError> {
     let name = "figures.svg";
     let Some(first) = c.candidates.first() else { return Ok(String::new()) };
@@ -43,7 +45,7 @@
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        root.fill(&WHITE).map_err(fault(name))?;
+        root.fill(&WHITE).map_err(chart_error(name))?;
         let mut chart = ChartBuilder::on(&root)
             .caption(
                 format!(
@@ -58,22 +60,22 @@
             .x_label_area_size(70)
             .y_label_area_size(50)
             .build_cartesian_2d(-0.5..names.len() as f64 - 0.5, low..high)
-            .map_err(fault(name))?;
+            .map_err(chart_error(name))?;
         chart
             .configure_mesh()
             .disable_x_mesh()
             .x_labels(names.len() * 2 + 1)
             .x_label_formatter(&|x| {
-                let near = x.round();
-                let hit = (x - near).abs() < 1e-6 && near >= 0.0;
-                hit.then(|| names.get(near as usize).cloned()).flatten().unwrap_or_default()
+                let nearest = x.round();
+                let is_position = (x - nearest).abs() < 1e-6 && nearest >= 0.0;
+                is_position.then(|| names.get(nearest as usize).cloned()).flatten().unwrap_or_default()
             })
             .x_label_style(("sans-serif", 11))
             .draw()
-            .map_err(fault(name))?;
+            .map_err(chart_error(name))?;
         chart
             .draw_series(LineSeries::new([(-0.5, 0.0), (names.len() as f64 - 0.5, 0.0)], colour(0)))
-            .map_err(fault(name))?;
+            .map_err(chart_error(name))?;
         let step = 0.6 / arms.len() as f64;
         for (ix, (arm, intervals)) in arms.iter().enumerate() {
             let shift = (ix as f64 - (arms.len() as f64 - 1.0) / 2.0) * step;
@@ -83,7 +85,7 @@
             });
             chart
                 .draw_series(bars)
-                .map_err(fault(name))?
+                .map_err(chart_error(name))?
                 .label(arm.clone())
                 .legend(move |(x, y)| Circle::new((x + 8, y), 4, colour(ix + 1).filled()));
         }
@@ -93,54 +95,54 @@
             .border_style(BLACK.mix(0.3))
             .position(SeriesLabelPosition::LowerLeft)
             .draw()
-            .map_err(fault(name))?;
-        root.present().map_err(fault(name))?;
+            .map_err(chart_error(name))?;
+        root.present().map_err(chart_error(name))?;
     }
     Ok(svg)
 }
 
-/// One series by second for every arm.
+/// Chart of one value by second, with a line for every arm and a band for its interval, if there is one.
 fn series(
     c: &Comparison,
     name: &str,
     title: &str,
-    of: impl Fn(&Second) -> (f64, Option<(f64, f64)>),
+    value_of: impl Fn(&Second) -> (f64, Option<(f64, f64)>),
 ) -> Result<String, LabError> {
     let mut arms = vec![(c.baseline.as_str(), &c.baseline_seconds)];
     arms.extend(c.candidates.iter().map(|a| (a.name.as_str(), &a.seconds)));
     let seconds = arms.iter().map(|(_, s)| s.len()).max().unwrap_or(1).max(1);
-    let tops = arms.iter().flat_map(|(_, s)| s.iter()).map(|s| of(s).0);
-    let top = tops.fold(0.0, f64::max).max(1e-3) * 1.08;
+    let means = arms.iter().flat_map(|(_, s)| s.iter()).map(|s| value_of(s).0);
+    let top = means.fold(0.0, f64::max).max(1e-3) * 1.08;
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        root.fill(&WHITE).map_err(fault(name))?;
+        root.fill(&WHITE).map_err(chart_error(name))?;
         let mut chart = ChartBuilder::on(&root)
             .caption(format!("{}: {title}", c.scenario), ("sans-serif", 18))
             .margin(10)
             .x_label_area_size(35)
             .y_label_area_size(50)
             .build_cartesian_2d(0.0..seconds as f64, 0.0..top)
-            .map_err(fault(name))?;
-        chart.configure_mesh().x_desc("seconds").draw().map_err(fault(name))?;
+            .map_err(chart_error(name))?;
+        chart.configure_mesh().x_desc("seconds").draw().map_err(chart_error(name))?;
         for (ix, (arm, points)) in arms.iter().enumerate() {
             let band: Vec<(f64, (f64, f64))> = points
                 .iter()
                 .enumerate()
-                .filter_map(|(s, x)| of(x).1.map(|ends| (s as f64 + 0.5, ends)))
+                .filter_map(|(s, x)| value_of(x).1.map(|ends| (s as f64 + 0.5, ends)))
                 .collect();
             if band.len() > 1 {
-                let there = band.iter().map(|(x, (_, high))| (*x, high.min(top)));
-                let back = band.iter().rev().map(|(x, (low, _))| (*x, low.max(0.0)));
-                let outline: Vec<(f64, f64)> = there.chain(back).collect();
+                let upper = band.iter().map(|(x, (_, high))| (*x, high.min(top)));
+                let lower = band.iter().rev().map(|(x, (low, _))| (*x, low.max(0.0)));
+                let outline: Vec<(f64, f64)> = upper.chain(lower).collect();
                 chart
                     .draw_series(std::iter::once(Polygon::new(outline, colour(ix).mix(0.12))))
-                    .map_err(fault(name))?;
+                    .map_err(chart_error(name))?;
             }
-            let line = points.iter().enumerate().map(|(s, x)| (s as f64 + 0.5, of(x).0));
+            let line = points.iter().enumerate().map(|(s, x)| (s as f64 + 0.5, value_of(x).0));
             chart
                 .draw_series(LineSeries::new(line, colour(ix).stroke_width(2)))
-                .map_err(fault(name))?
+                .map_err(chart_error(name))?
                 .label((*arm).to_owned())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour(ix).stroke_width(2)));
         }
@@ -150,13 +152,13 @@
             .border_style(BLACK.mix(0.3))
             .position(SeriesLabelPosition::LowerLeft)
             .draw()
-            .map_err(fault(name))?;
-        root.present().map_err(fault(name))?;
+            .map_err(chart_error(name))?;
+        root.present().map_err(chart_error(name))?;
     }
     Ok(svg)
 }
 
-/// All charts of a comparison, by file name.
+/// Draws all charts of a comparison; returns file names and SVG texts.
 pub fn all(c: &Comparison) -> Result<Vec<(&'static str, String)>, LabError> {
     let service = |s: &Second| (s.service.mean, s.service.ends());
     Ok(vec![
--- a/crates/lab/src/study/compare.rs
+++ b/crates/lab/src/study/compare.rs
@@ -1,90 +1,93 @@
-//! Two or more arms on the same days.
+//! Paired comparison of two or more arms that were simulated on the same days.
 
 use serde::{Deserialize, Serialize};
 
 use super::stats::{paired, within_days, Interval, Verdict};
-use super::{asides, figures, Arm};
+use super::{figures, secondary_figures, Arm};
 use crate::scenario::Scenario;
 use crate::world::DayResult;
 
-/// One figure of a candidate beside the baseline's.
+/// One figure of a candidate compared with that of the baseline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
-    /// Its name.
+    /// Name of the figure.
     pub name: String,
-    /// The baseline's mean, with the interval after the days' own differences were taken out.
+    /// Mean of the baseline, with its interval after removing the variation between days.
     pub baseline: Interval,
-    /// The candidate's.
+    /// Mean of the candidate, with its interval after removing the variation between days.
     pub candidate: Interval,
-    /// Candidate less baseline, paired by day.
+    /// Candidate minus baseline, paired by day.
     pub difference: Interval,
-    /// What that says.
+    /// Verdict from the interval of the difference.
     pub verdict: Verdict,
-    /// The two intervals lie apart.
+    /// Whether the intervals of `baseline` and `candidate` do not overlap.
     pub apart: bool,
 }
 
 /// The mean state of the fleet by second, with the 95% interval of service over the days.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Service of the calls that were first tried then.
+    /// Service of the calls whose first attempt was in this second.
     pub service: Interval,
     /// Share of circuits in use.
     pub occupancy: f64,
     /// Mean wait at the processors, seconds.
     pub wait: f64,
-    /// Mean own level of overload.
+    /// Mean overload level of the proxies' own exchanges.
     pub own_level: f64,
-    /// Mean of the highest far level.
+    /// Mean over the proxies of the highest overload level of a far exchange.
     pub far_level: f64,
 }
 
-/// A candidate beside the baseline.
+/// The results of a candidate compared with the baseline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Its name.
+    /// Name of the candidate.
     pub name: String,
-    /// What it is.
+    /// Description of the candidate.
     pub about: String,
-    /// Figures where more is better.
+    /// Figures of service; higher is better.
     pub figures: Vec<Figure>,
-    /// Figures that explain.
-    pub asides: Vec<Figure>,
-    /// Days on which it broke a rule.
+    /// Figures that help to explain the result; neither higher nor lower is better.
+    #[serde(rename = "asides")]
+    pub secondary_figures: Vec<Figure>,
+    /// Number of days on which the candidate broke a rule.
     pub broken_days: u32,
-    /// The result in words.
+    /// Summary of the result in one sentence.
     pub sentence: String,
-    /// By second.
+    /// State of the fleet by second.
     pub seconds: Vec<Second>,
 }
 
-/// A whole comparison.
+/// The result of a comparison over one scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// What it shows.
+    /// Description of the scenario.
     pub about: String,
-    /// Days that were played.
+    /// Seeds of the simulated days.
     pub seeds: Vec<u64>,
-    /// Calls of all days, first tries.
+    /// Number of calls over all days, without redials.
     pub calls: u64,
-    /// The baseline's name.
+    /// Name of the baseline.
     pub baseline: String,
-    /// Days on which the baseline broke a rule.
+    /// Number of days on which the baseline broke a rule.
     pub baseline_broken_days: u32,
     /// The baseline by second.
     pub baseline_seconds: Vec<Second>,
-    /// The candidates.
+    /// Results of the candidates.
     pub candidates: Vec<Candidate>,
 }
 
-type Named = fn(&Scenario, &DayResult) -> Vec<(String, f64)>;
+/// Computes the named figures of one day.
+type FigureFn = fn(&Scenario, &DayResult) -> Vec<(String, f64)>;
 
-fn columns(scenario: &Scenario, days: &[DayResult], of: Named) -> Vec<(String, Vec<f64>)> {
+/// Collects the values of each figure over all days.
+fn columns(scenario: &Scenario, days: &[DayResult], figures_of: FigureFn) -> Vec<(String, Vec<f64>)> {
     let mut columns: Vec<(String, Vec<f64>)> = Vec::new();
     for day in days {
-        for (ix, (name, x)) in of(scenario, day).into_iter().enumerate() {
+        for (ix, (name, x)) in figures_of(scenario, day).into_iter().enumerate() {
             match columns.get_mut(ix) {
                 Some((_, xs)) => xs.push(x),
                 None => columns.push((name, vec![x])),
@@ -94,8 +97,14 @@
     columns
 }
 
-fn beside(scenario: &Scenario, first: &[DayResult], second: &[DayResult], of: Named) -> Vec<Figure> {
-    let pairs = columns(scenario, first, of).into_iter().zip(columns(scenario, second, of));
+/// Compares each figure of two arms on the same days.
+fn compare_figures(
+    scenario: &Scenario,
+    first: &[DayResult],
+    second: &[DayResult],
+    figures_of: FigureFn,
+) -> Vec<Figure> {
+    let pairs = columns(scenario, first, figures_of).into_iter().zip(columns(scenario, second, figures_of));
     let figure = |((name, a), (_, b)): ((String, Vec<f64>), (String, Vec<f64>))| {
         let (difference, verdict) = paired(&a, &b);
         let within = within_days(&[a, b]);
@@ -105,6 +114,7 @@
     pairs.map(figure).collect()
 }
 
+/// Means over the days for each second, up to the end of the shortest day.
 fn by_second(days: &[DayResult]) -> Vec<Second> {
     let shortest = days.iter().map(|d| d.service.seconds.len()).min().unwrap_or(0);
     let second = |s: usize| {
@@ -132,17 +142,17 @@
     (0..shortest).map(second).collect()
 }
 
-fn broken(days: &[DayResult]) -> u32 {
+fn count_broken_days(days: &[DayResult]) -> u32 {
     days.iter().filter(|d| d.broken_rules > 0).count() as u32
 }
 
-/// The result in words: the service first, then which parts differ.
+/// Summarizes the result: first the service, then the other figures that differ.
 fn sentence(figures: &[Figure], broken_days: u32) -> String {
     let mut words = match figures.first() {
         Some(service) => {
             let change = service.difference.mean * 100.0;
             let half = service.difference.half.map_or(String::new(), |h| format!(" ± {:.2}", h * 100.0));
-            format!("service {} ({change:+.2}{half} points in 100)", service.verdict.words())
+            format!("service {} ({change:+.2}{half} points in 100)", service.verdict.label())
         }
         None => "nothing to compare".to_owned(),
     };
@@ -150,7 +160,7 @@
         let parts: Vec<&str> =
             figures.iter().skip(1).filter(|f| f.verdict == verdict).map(|f| f.name.as_str()).collect();
         if !parts.is_empty() {
-            words.push_str(&format!("; {}: {}", verdict.words(), parts.join(", ")));
+            words.push_str(&format!("; {}: {}", verdict.label(), parts.join(", ")));
         }
     }
     if broken_days > 0 {
@@ -164,14 +174,14 @@
     let empty = Vec::new();
     let base = days.first().unwrap_or(&empty);
     let candidate = |(arm, played): (&Arm, &Vec<DayResult>)| {
-        let figures = beside(scenario, base, played, figures);
-        let broken_days = broken(played);
+        let figures = compare_figures(scenario, base, played, figures);
+        let broken_days = count_broken_days(played);
         Candidate {
             name: arm.name.clone(),
             about: arm.about.clone(),
             sentence: sentence(&figures, broken_days),
             figures,
-            asides: beside(scenario, base, played, asides),
+            secondary_figures: compare_figures(scenario, base, played, secondary_figures),
             broken_days,
             seconds: by_second(played),
         }
@@ -182,7 +192,7 @@
         seeds: seeds.to_vec(),
         calls: base.iter().map(|d| d.calls).sum(),
         baseline: arms.first().map_or(String::new(), |a| a.name.clone()),
-        baseline_broken_days: broken(base),
+        baseline_broken_days: count_broken_days(base),
         baseline_seconds: by_second(base),
         candidates: arms.iter().zip(days).skip(1).map(candidate).collect(),
     }
--- a/crates/lab/src/study/keep.rs
+++ b/crates/lab/src/study/keep.rs
@@ -1,4 +1,5 @@
-//! Results as files: all of them or none. They are written beside their place and moved there at the end.
+//! Result files of a comparison. All files are first written to a staging folder and then moved, so that a failed
+//! write leaves the earlier results in place.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,17 +10,17 @@
 use super::{chart, table};
 use crate::LabError;
 
-/// The file that the others are made from.
-const DATA: &str = "comparison.json";
+/// The result file from which the other files can be made again.
+const COMPARISON_FILE: &str = "comparison.json";
 
-/// Puts files into a folder, whole or not at all. Files of the same names are replaced, others stay.
-pub fn files(dir: &Path, files: &[(&str, String)]) -> Result<(), LabError> {
+/// Writes files to a folder by way of a staging folder. Files with the same names are replaced, others are kept.
+pub fn write_files(dir: &Path, files: &[(&str, String)]) -> Result<(), LabError> {
     let parent = dir.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     fs::create_dir_all(parent).map_err(LabError::file(parent))?;
     let name = dir.file_name().map_or("results".into(), |n| n.to_string_lossy().into_owned());
     let staged = parent.join(format!(".{name}.part"));
-    let clean = |error: LabError| {
-        // What was begun is of no use to anybody.
+    let remove_staged = |error: LabError| {
+        // An incomplete set of files is of no use.
         let _ = fs::remove_dir_all(&staged);
         error
     };
@@ -27,30 +28,35 @@
     fs::create_dir_all(&staged).map_err(LabError::file(&staged))?;
     for (name, text) in files {
         let path = staged.join(name);
-        fs::write(&path, text).map_err(LabError::file(&path)).map_err(clean)?;
+        fs::write(&path, text).map_err(LabError::file(&path)).map_err(remove_staged)?;
     }
-    fs::create_dir_all(dir).map_err(LabError::file(dir)).map_err(clean)?;
+    fs::create_dir_all(dir).map_err(LabError::file(dir)).map_err(remove_staged)?;
     for (name, _) in files {
         let (from, to) = (staged.join(name), dir.join(name));
-        fs::rename(&from, &to).map_err(LabError::file(&to)).map_err(clean)?;
+        fs::rename(&from, &to).map_err(LabError::file(&to)).map_err(remove_staged)?;
     }
     fs::remove_dir(&staged).map_err(LabError::file(&staged))
 }
 
-/// Keeps a comparison: its data, a page with its tables, CSV, and charts.
-pub fn comparison(dir: &Path, c: &Comparison) -> Result<(), LabError> {
-    let mut all = vec![(DATA, json(c)), ("table.csv", table::comparison_csv(c)), ("report.md", page(c))];
+/// Writes the files of a comparison: its data as JSON, a CSV table, a Markdown report and charts.
+pub fn write_comparison(dir: &Path, c: &Comparison) -> Result<(), LabError> {
+    let mut all = vec![
+        (COMPARISON_FILE, to_json(c)),
+        ("table.csv", table::comparison_csv(c)),
+        ("report.md", markdown_report(c)),
+    ];
     all.extend(chart::all(c)?);
-    files(dir, &all)
+    write_files(dir, &all)
 }
 
-/// Data as JSON for people to read.
-pub fn json<T: serde::Serialize>(data: &T) -> String {
-    // What is kept here is plain numbers and text, which always have a form in JSON.
+/// Formats data as indented JSON.
+pub fn to_json<T: serde::Serialize>(data: &T) -> String {
+    // The results consist of numbers and text only, so serialization does not fail.
     serde_json::to_string_pretty(data).unwrap_or_default() + "\n"
 }
 
-fn page(c: &Comparison) -> String {
+/// The Markdown report of a comparison.
+fn markdown_report(c: &Comparison) -> String {
     let mut page = format!("# {}\n\n{}\n\n", c.scenario, c.about);
     page.push_str(&format!(
         "{} days (seeds {} to {}), {} calls. Means with 95% intervals; the days' own differences are taken out of \
@@ -79,9 +85,9 @@
     page
 }
 
-/// Reads a kept comparison.
-pub fn read(dir: &Path) -> Result<Comparison, LabError> {
-    read_json(&dir.join(DATA))
+/// Reads the comparison that is stored in a folder.
+pub fn read_comparison(dir: &Path) -> Result<Comparison, LabError> {
+    read_json(&dir.join(COMPARISON_FILE))
 }
 
 fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, LabError> {
--- a/crates/lab/src/study/mod.rs
+++ b/crates/lab/src/study/mod.rs
@@ -1,4 +1,5 @@
-//! Experiments: days played by several arms on the same random numbers, intervals, verdicts, tables and charts.
+//! Experiments: simulation of the same days with several arms on common random numbers, and its evaluation with
+//! confidence intervals, verdicts, tables and charts.
 
 pub mod arm;
 pub mod chart;
@@ -23,8 +24,9 @@
 use crate::world::{run, DayResult};
 use crate::LabError;
 
-/// Plays days (seeds) of a scenario with every arm; results are by arm, then by day, whatever the threads do.
-pub fn play(
+/// Simulates the days (seeds) of a scenario with every arm. The results are ordered by arm, then by day,
+/// independently of the number of threads.
+pub fn run_arms(
     scenario: &Scenario,
     arms: &[Arm],
     seeds: &[u64],
@@ -32,20 +34,20 @@
     progress: &ProgressBar,
 ) -> Result<Vec<Vec<DayResult>>, LabError> {
     progress.set_length((arms.len() * seeds.len()) as u64);
-    let one = |seed: &u64| -> Result<Vec<DayResult>, LabError> {
+    let run_seed = |seed: &u64| -> Result<Vec<DayResult>, LabError> {
         let day = Day::draw(scenario, *seed);
         let callers = match traffic {
             Some(path) => recorded::read(path, &day)?,
             None => generate(&day),
         };
-        let played = arms.iter().map(|arm| {
+        let results = arms.iter().map(|arm| {
             let result = run(&day, &callers, arm.seats()?.as_mut(), arm.salt);
             progress.inc(1);
             result
         });
-        played.collect()
+        results.collect()
     };
-    let days: Vec<Vec<DayResult>> = seeds.par_iter().map(one).collect::<Result<_, _>>()?;
+    let days: Vec<Vec<DayResult>> = seeds.par_iter().map(run_seed).collect::<Result<_, _>>()?;
     let mut by_arm: Vec<Vec<DayResult>> = arms.iter().map(|_| Vec::new()).collect();
     for day in days {
         for (arm, result) in by_arm.iter_mut().zip(day) {
@@ -55,7 +57,7 @@
     Ok(by_arm)
 }
 
-/// The figures of a day that are compared, by name: those of service first, where more is better.
+/// The named figures of a day that are compared, the service first; higher is better for all of them.
 pub fn figures(scenario: &Scenario, day: &DayResult) -> Vec<(String, f64)> {
     let s = &day.service;
     let mut figures = vec![
@@ -70,10 +72,10 @@
     figures
 }
 
-/// Figures that explain, where neither more nor less is better.
-pub fn asides(scenario: &Scenario, day: &DayResult) -> Vec<(String, f64)> {
+/// Named figures of a day that help to explain the result; neither higher nor lower is better.
+pub fn secondary_figures(scenario: &Scenario, day: &DayResult) -> Vec<(String, f64)> {
     let calls = day.calls.max(1) as f64;
-    let mut asides = vec![
+    let mut figures = vec![
         ("attempts a call".to_owned(), day.sends_per_call),
         ("tries a call".to_owned(), day.ends.tries as f64 / calls),
         ("refused tries a call".to_owned(), day.ends.refused as f64 / calls),
@@ -86,7 +88,7 @@
     ];
     for (class, waits) in scenario.classes.iter().zip(&day.waits) {
         let wait = waits.ninety.unwrap_or(0.0);
-        asides.push((format!("9 in 10 of {} stand within, s", class.name), wait));
+        figures.push((format!("9 in 10 of {} stand within, s", class.name), wait));
     }
-    asides
+    figures
 }
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -1,5 +1,6 @@
-//! The paper's procedure for thresholds (section 3.3), walked on the modelled processor: set-ups come evenly at
-//! random, a controller samples the depth of the line, and turns away the share of its level.
+//! The paper's procedure for setting overload thresholds (section 3.3), run on the modelled processor: set-ups
+//! arrive as a Poisson process, and a controller samples the depth of the processor's queue and refuses the share
+//! of set-ups that belongs to its overload level.
 
 use mallowring::interface::ExchangeId;
 use rand_distr::{Distribution, Exp1};
@@ -11,37 +12,39 @@
 use crate::scenario::WorkTime;
 use crate::world::processor::{Processor, Task};
 
-/// Share that is turned away at levels 0 to 4 (section 3.2; urgent calls are left out here).
-const REFUSED: [f64; 5] = [0.0, 0.2, 0.8, 1.0, 1.0];
-/// The controller samples the depth once in this, µs.
-const SAMPLE: Us = SECOND / 10;
-/// A level counts as reported once this share of the time is spent at it or above.
-const REPORTED: f64 = 0.01;
+/// Share of set-ups refused at levels 0 to 4 (section 3.2; without its rule for urgent calls).
+const REFUSED_SHARE: [f64; 5] = [0.0, 0.2, 0.8, 1.0, 1.0];
+/// Period at which the controller samples the queue depth, in µs.
+const SAMPLE_PERIOD_US: Us = SECOND / 10;
+/// A level counts as reported if more than this share of the samples is at it or above.
+const REPORTED_SHARE: f64 = 0.01;
 
-/// Onset and abate thresholds of levels 1 to 4, jobs in the line.
+/// Onset and abatement thresholds of levels 1 to 4, in jobs in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Thresholds {
-    /// A level is entered when the depth passes this.
+    /// A level is entered when the depth exceeds its onset threshold.
     pub onset: [f64; 4],
-    /// It is left below this.
+    /// A level is left when the depth falls below its abatement threshold.
     pub abate: [f64; 4],
 }
 
 impl Thresholds {
-    /// Each onset twice the one before, abates at a share of them, as the shipped module has them.
+    /// Each onset is twice the previous one and each abatement threshold is the share `abate` of its onset, as in the
+    /// shipped controller.
     pub fn doubling(onset1: f64, abate: f64) -> Self {
         let onset = [1.0, 2.0, 4.0, 8.0].map(|k| k * onset1);
         Thresholds { onset, abate: onset.map(|o| o * abate) }
     }
 
-    /// Levels from `known` + 1 on are out of reach.
-    fn up_to(mut self, known: usize) -> Self {
-        for level in known..4 {
+    /// Makes the levels above `highest` unreachable.
+    fn up_to(mut self, highest: usize) -> Self {
+        for level in highest..4 {
             self.onset[level] = f64::INFINITY;
         }
         self
     }
 
+    /// The level that follows `level` at a queue depth.
     fn step(&self, mut level: usize, depth: f64) -> usize {
         while level < 4 && depth > self.onset[level] {
             level += 1;
@@ -53,34 +56,35 @@
     }
 }
 
-/// What a steady load did.
+/// Result of a steady load.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Steady {
-    /// Set-ups offered over those that the processor can do with nothing turned away.
+    /// Rate of offered set-ups, relative to the processor's capacity without refusals.
     pub offered: f64,
     /// Share of the samples at each level.
     pub spent: [f64; 5],
-    /// Moves to a neighbouring level, and all moves.
+    /// Number of changes to an adjacent level, and of all level changes.
     pub moves: [u64; 2],
-    /// Highest and lowest depth after the line had settled.
+    /// Highest queue depth after the settling time.
     pub high: usize,
-    /// The lowest.
+    /// Lowest queue depth after the settling time.
     pub low: usize,
 }
 
 impl Steady {
-    /// The largest share of the samples that two neighbouring levels hold together: the paper wants all.
+    /// The largest share of the samples that lies in two adjacent levels; the paper requires all of them.
     pub fn two_neighbours(&self) -> f64 {
         self.spent.windows(2).map(|w| w[0] + w[1]).fold(0.0, f64::max)
     }
 
+    /// Whether the load reports `level`.
     fn reports(&self, level: usize) -> bool {
-        self.spent[level..].iter().sum::<f64>() > REPORTED
+        self.spent[level..].iter().sum::<f64>() > REPORTED_SHARE
     }
 }
 
-/// A processor of the operators' kind whose set-ups take 20 ms.
-fn works() -> Works {
+/// A processor whose set-ups take 20 ms on average.
+fn processor_settings() -> Works {
     Works {
         set_up_us: 20_000.0,
         look: 0.0,
@@ -97,24 +101,24 @@
     }
 }
 
-/// Plays a steady load.
+/// Simulates a steady load for `seconds`.
 pub fn steady(thresholds: &Thresholds, offered: f64, seconds: f64, seed: u64) -> Steady {
-    let works = works();
+    let works = processor_settings();
     let mut processor = Processor::new(ExchangeId(1), works, None);
     let mut arrivals = stream(seed, Purpose::Arrivals, 0);
     let mut work = stream(seed, Purpose::Work, 0);
     let gap = works.set_up_us / offered;
     let (end, settled) = ((seconds * SECOND as f64) as Us, SECOND * 10);
-    let (mut next, mut sample, mut done) = (0.0, SAMPLE, None::<(Us, u64)>);
-    let (mut level, mut debt) = (0usize, 0.0);
+    let (mut next, mut sample, mut completion) = (0.0, SAMPLE_PERIOD_US, None::<(Us, u64)>);
+    let (mut level, mut refusal_credit) = (0usize, 0.0);
     let (mut spent, mut moves, mut high, mut low) = ([0u64; 5], [0u64; 2], 0, usize::MAX);
     loop {
-        let at = (next as Us).min(sample).min(done.map_or(Us::MAX, |(at, _)| at));
+        let at = (next as Us).min(sample).min(completion.map_or(Us::MAX, |(at, _)| at));
         if at >= end {
             break;
         }
-        if let Some((_, serial)) = done.filter(|(d, _)| *d == at) {
-            done = processor.finish(at, serial, &mut work).and_then(|(_, next)| next);
+        if let Some((_, serial)) = completion.filter(|(d, _)| *d == at) {
+            completion = processor.finish(at, serial, &mut work).and_then(|(_, next)| next);
         } else if sample == at {
             let depth = processor.present();
             let to = thresholds.step(level, depth as f64);
@@ -127,13 +131,13 @@
                 (high, low) = (high.max(depth), low.min(depth));
             }
             level = to;
-            sample += SAMPLE;
+            sample += SAMPLE_PERIOD_US;
         } else {
-            debt += REFUSED[level];
-            let refuse = debt >= 1.0;
-            debt -= if refuse { 1.0 } else { 0.0 };
+            refusal_credit += REFUSED_SHARE[level];
+            let refuse = refusal_credit >= 1.0;
+            refusal_credit -= if refuse { 1.0 } else { 0.0 };
             let (task, size) = if refuse { (Task::Refuse, works.refuse) } else { (Task::SetUpFar(0), 1.0) };
-            done = processor.push(at, task, size, &mut work).or(done);
+            completion = processor.push(at, task, size, &mut work).or(completion);
             next += gap * Distribution::<f64>::sample(&Exp1, &mut arrivals);
         }
     }
@@ -141,57 +145,58 @@
     Steady { offered, spent: spent.map(|s| s as f64 / all), moves, high, low: low.min(high) }
 }
 
-/// The procedure's steps and what they yield.
+/// Result of the procedure, by step.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Walk {
-    /// Onset 1, where it begins.
+pub struct ProcedureResult {
+    /// Onset threshold of level 1, the start value.
     pub onset1: f64,
-    /// Step 1: the load at which each level is first reported, over the processor's own rate.
+    /// Step 1: the lowest load that reports each level, relative to the processor's capacity.
     pub loads: Vec<f64>,
-    /// Step 2: how far the depth leaves its thresholds at each of these loads.
+    /// Step 2: how far the queue depth exceeds the thresholds at each of these loads.
     pub deltas: Vec<f64>,
-    /// Step 3: the thresholds set by them.
+    /// Step 3: the resulting thresholds.
     pub tuned: Thresholds,
-    /// Steady loads under those thresholds.
+    /// Results of steady loads with those thresholds.
     pub with_tuned: Vec<Steady>,
-    /// The same under thresholds that double.
+    /// Results of the same loads with thresholds that double from level to level.
     pub with_doubling: Vec<Steady>,
 }
 
-/// The margin that the paper adds, as a share of onset 1 (100 of 500 there).
-const MARGIN: f64 = 0.2;
-/// The paper's abate over its onset at level 1 (300 of 500).
-const ABATE: f64 = 0.6;
+/// Margin between levels as a share of onset 1; the paper adds 100 to an onset of 500.
+const MARGIN_SHARE: f64 = 0.2;
+/// Abatement threshold of level 1 as a share of its onset; the paper has 300 and 500.
+const ABATE_SHARE: f64 = 0.6;
 
-/// Walks the procedure from an onset of level 1, in set-ups. `seconds` is the length of each steady load.
-pub fn walk(onset1: f64, seconds: f64, seed: u64) -> Walk {
+/// Runs the procedure from an onset of level 1, in set-ups. `seconds` is the length of each steady load of steps 1
+/// and 2; the final loads last four times as long.
+pub fn run_procedure(onset1: f64, seconds: f64, seed: u64) -> ProcedureResult {
     let grid: Vec<f64> = (16..=200).map(|k| f64::from(k) * 0.05).collect();
-    let margin = MARGIN * onset1;
-    let mut t = Thresholds::doubling(onset1, ABATE);
+    let margin = MARGIN_SHARE * onset1;
+    let mut t = Thresholds::doubling(onset1, ABATE_SHARE);
     let (mut loads, mut deltas) = (Vec::new(), Vec::new());
     for level in 1..=4usize {
-        // Step 1: raise the load until the level is reported, the next ones being out of reach.
+        // Step 1: raise the load until the level is reported, with the levels above it unreachable.
         let reported = |load: &&f64| steady(&t.up_to(level), **load, seconds, seed).reports(level);
         let load = grid.iter().find(reported).copied().unwrap_or(10.0);
-        // Step 2: how far the line goes beyond the onset, and below the abate threshold, under that load.
-        let seen = steady(&t.up_to(level), load, seconds, seed);
-        let above = seen.high as f64 - t.onset[level - 1];
-        let below = t.abate[level - 1] - seen.low as f64;
+        // Step 2: how far the queue depth rises above the onset and falls below the abatement threshold.
+        let result = steady(&t.up_to(level), load, seconds, seed);
+        let above = result.high as f64 - t.onset[level - 1];
+        let below = t.abate[level - 1] - result.low as f64;
         let delta = if level == 1 { above } else { above.max(below) }.max(0.0);
         loads.push(load);
         deltas.push(delta);
-        // Step 3: the next level lies beyond that, with a margin.
+        // Step 3: place the thresholds of the next level beyond that, with a margin.
         if level < 4 {
             t.onset[level] = t.onset[level - 1] + delta + margin;
             t.abate[level] = t.abate[level - 1] + delta + margin;
         }
     }
-    let played = |t: &Thresholds| {
+    let run_loads = |t: &Thresholds| {
         let loads = [0.8, 1.0, 1.1, 1.2, 1.5, 2.0, 3.0, 4.0];
         loads.map(|load| steady(t, load, 4.0 * seconds, seed + 1)).to_vec()
     };
-    let with_doubling = played(&Thresholds::doubling(onset1, ABATE));
-    Walk { onset1, loads, deltas, tuned: t, with_tuned: played(&t), with_doubling }
+    let with_doubling = run_loads(&Thresholds::doubling(onset1, ABATE_SHARE));
+    ProcedureResult { onset1, loads, deltas, tuned: t, with_tuned: run_loads(&t), with_doubling }
 }
 
 #[cfg(test)]
@@ -203,7 +208,7 @@
         let t = Thresholds::doubling(10.0, 0.6);
         assert_eq!(t.step(0, 10.0), 0);
         assert_eq!(t.step(0, 11.0), 1);
-        assert_eq!(t.step(1, 7.0), 1, "between abate 6 and onset 20 a level stays");
+        assert_eq!(t.step(1, 7.0), 1, "the level stays between abatement 6 and onset 20");
         assert_eq!(t.step(1, 5.0), 0);
         assert_eq!(t.step(0, 100.0), 4);
         assert_eq!(t.up_to(2).step(0, 100.0), 2);
--- a/crates/lab/src/study/stats.rs
+++ b/crates/lab/src/study/stats.rs
@@ -1,14 +1,14 @@
-//! Intervals and verdicts over paired days.
+//! Confidence intervals and verdicts over paired days.
 
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// A mean with its 95% interval.
+/// A mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Interval {
     /// The mean.
     pub mean: f64,
-    /// Half of the interval's length; not a number is written for fewer than two values, as nothing is known.
+    /// Half of the interval's length; none for fewer than two values, as their variance is unknown.
     pub half: Option<f64>,
 }
 
@@ -18,7 +18,7 @@
         self.half.map(|half| (self.mean - half, self.mean + half))
     }
 
-    /// Whether two intervals lie apart; unknown ones never do.
+    /// Whether two intervals do not overlap; false if one of them is unknown.
     pub fn is_apart(&self, other: &Interval) -> bool {
         match (self.ends(), other.ends()) {
             (Some((a, b)), Some((c, d))) => b < c || d < a,
@@ -27,7 +27,7 @@
     }
 }
 
-/// The mean of some numbers; 0 of none.
+/// The mean of some numbers; 0 for an empty slice.
 pub fn mean(xs: &[f64]) -> f64 {
     if xs.is_empty() {
         return 0.0;
@@ -35,7 +35,7 @@
     xs.iter().sum::<f64>() / xs.len() as f64
 }
 
-/// The variance of a sample.
+/// The unbiased variance of a sample.
 pub fn variance(xs: &[f64]) -> f64 {
     let m = mean(xs);
     xs.iter().map(|x| (x - m).powi(2)).sum::<f64>() / (xs.len().max(2) - 1) as f64
@@ -43,7 +43,7 @@
 
 /// Student's t for a two-sided 95% interval with these degrees of freedom.
 fn t95(freedom: usize) -> f64 {
-    // A distribution with one degree of freedom or more always exists.
+    // The distribution exists for one degree of freedom or more.
     StudentsT::new(0.0, 1.0, freedom.max(1) as f64).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975))
 }
 
@@ -52,25 +52,26 @@
     interval(xs, 1.0)
 }
 
+/// Student's 95% interval with a correction factor on the variance.
 fn interval(xs: &[f64], correction: f64) -> Interval {
     let n = xs.len();
     let half = (n >= 2).then(|| t95(n - 1) * (variance(xs) * correction / n as f64).sqrt());
     Interval { mean: mean(xs), half }
 }
 
-/// Intervals of several arms on the same days with the days' own differences taken out (Cousineau 2005 with
-/// Morey's correction of 2008): where two of them lie apart, the paired difference is clear of zero too.
+/// Within-day intervals of several arms on the same days, without the variation between days (Cousineau 2005 with
+/// Morey's correction of 2008). If two of them do not overlap, the interval of the paired difference excludes zero.
 pub fn within_days(arms: &[Vec<f64>]) -> Vec<Interval> {
     let days = arms.iter().map(Vec::len).min().unwrap_or(0);
     let count = arms.len() as f64;
     let day: Vec<f64> = (0..days).map(|d| arms.iter().map(|a| a[d]).sum::<f64>() / count).collect();
-    let all = mean(&day);
+    let overall_mean = mean(&day);
     let correction = if arms.len() > 1 { count / (count - 1.0) } else { 1.0 };
     arms.iter()
         .map(|arm| {
-            let freed: Vec<f64> = (0..days).map(|d| arm[d] - day[d] + all).collect();
+            let adjusted: Vec<f64> = (0..days).map(|d| arm[d] - day[d] + overall_mean).collect();
             if arms.len() > 1 {
-                interval(&freed, correction)
+                interval(&adjusted, correction)
             } else {
                 t_interval(arm)
             }
@@ -78,21 +79,21 @@
         .collect()
 }
 
-/// What a comparison of one figure says.
+/// Verdict of the comparison of one figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// The candidate is better.
     Better,
-    /// It is worse.
+    /// The candidate is worse.
     Worse,
-    /// The interval of the difference holds zero, or too few days were played.
+    /// The interval of the difference includes zero, or there are too few days.
     NoDifference,
 }
 
 impl Verdict {
-    /// In words.
-    pub fn words(self) -> &'static str {
+    /// The verdict as text.
+    pub fn label(self) -> &'static str {
         match self {
             Verdict::Better => "better",
             Verdict::Worse => "worse",
@@ -101,16 +102,16 @@
     }
 }
 
-/// Differences below this are rounding.
-const NOTHING: f64 = 1e-12;
+/// Differences up to this size are attributed to rounding.
+const ROUNDING_ERROR: f64 = 1e-12;
 
-/// The paired difference of two arms on the same days (second less first), with Student's 95% interval.
+/// The paired difference of two arms on the same days (second minus first), with Student's 95% interval.
 pub fn paired(first: &[f64], second: &[f64]) -> (Interval, Verdict) {
     let differences: Vec<f64> = first.iter().zip(second).map(|(a, b)| b - a).collect();
     let difference = t_interval(&differences);
     let verdict = match difference.ends() {
-        Some((low, _)) if low > NOTHING => Verdict::Better,
-        Some((_, high)) if high < -NOTHING => Verdict::Worse,
+        Some((low, _)) if low > ROUNDING_ERROR => Verdict::Better,
+        Some((_, high)) if high < -ROUNDING_ERROR => Verdict::Worse,
         _ => Verdict::NoDifference,
     };
     (difference, verdict)
@@ -131,7 +132,7 @@
     }
 
     #[test]
-    fn paired_days_hide_what_days_differ_by() {
+    fn paired_differences_exclude_variation_between_days() {
         let first = vec![0.2, 0.5, 0.9, 0.4];
         let second: Vec<f64> = first.iter().zip([0.010, 0.012, 0.011, 0.009]).map(|(a, d)| a - d).collect();
         let (difference, verdict) = paired(&first, &second);
@@ -139,7 +140,7 @@
         assert!((difference.mean + 0.0105).abs() < 1e-9);
         assert!(
             !t_interval(&first).is_apart(&t_interval(&second)),
-            "the raw intervals are as wide as the days"
+            "the unpaired intervals include the variation between days"
         );
         let within = within_days(&[first.clone(), second]);
         assert!(within[0].is_apart(&within[1]));
--- a/crates/lab/src/study/sweep.rs
+++ b/crates/lab/src/study/sweep.rs
@@ -1,4 +1,4 @@
-//! One or two keys over values: of the scenario, or of the tuned values.
+//! Parameter sweeps: runs over a grid of values of scenario and tuning keys.
 
 use std::path::Path;
 
@@ -11,10 +11,10 @@
 use crate::world::DayResult;
 use crate::LabError;
 
-/// A key and the values that it takes.
+/// A key and its values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Axis {
-    /// Dotted: `load.offered`, or `tuning.abate`.
+    /// Dotted key, such as `load.offered` or `tuning.abate`.
     pub key: String,
     /// TOML values.
     pub values: Vec<toml::Value>,
@@ -24,50 +24,49 @@
     type Err = LabError;
 
     fn from_str(text: &str) -> Result<Self, LabError> {
-        let bad = || LabError::Argument(format!("'{text}': want KEY=VALUE,VALUE,..."));
-        let (key, values) = text.split_once('=').ok_or_else(bad)?;
-        // Values may be arrays: as one TOML array they are parted as TOML parts them.
+        let syntax_error = || LabError::Argument(format!("'{text}': expected KEY=VALUE,VALUE,..."));
+        let (key, values) = text.split_once('=').ok_or_else(syntax_error)?;
+        // The values may be arrays themselves, so the list is parsed as a TOML array.
         let table: toml::Table = format!("values = [{values}]")
             .parse()
             .map_err(|e: toml::de::Error| LabError::Argument(format!("'{text}': {}", e.message())))?;
         let values = table.get("values").and_then(toml::Value::as_array).cloned().unwrap_or_default();
         if key.is_empty() || values.is_empty() {
-            return Err(bad());
+            return Err(syntax_error());
         }
         Ok(Axis { key: key.to_owned(), values })
     }
 }
 
-/// A point of the grid: the scenario and the arm with these values set.
+/// A point of the grid: the scenario and the arm with the point's values.
 #[derive(Clone, Debug)]
 pub struct Point {
     /// The values, by axis.
     pub values: Vec<String>,
-    /// The scenario.
+    /// The scenario with the values set.
     pub scenario: Scenario,
-    /// The arm.
+    /// The arm with the values set.
     pub arm: Arm,
 }
 
-/// Sets a dotted key. A part that is a number picks from an array.
-fn set(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
-    let mut at = root;
+/// Sets a dotted key; a numeric part is an index into an array.
+fn set_key(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
+    let mut node = root;
     for part in key.split('.') {
-        let next = match at {
+        let next = match node {
             toml::Value::Array(list) => part.parse::<usize>().ok().and_then(|ix| list.get_mut(ix)),
             toml::Value::Table(table) => {
                 Some(table.entry(part).or_insert(toml::Value::Table(toml::Table::new())))
             }
             _ => None,
         };
-        at = next.ok_or_else(|| format!("there is no key '{part}'"))?;
+        node = next.ok_or_else(|| format!("there is no key '{part}'"))?;
     }
-    *at = value;
+    *node = value;
     Ok(())
 }
 
-/// All points of a grid, the last axis changing fastest. A value that a scenario can't have is an error that names
-/// the key.
+/// All points of a grid; the last axis varies fastest. An invalid value is an error that names the key.
 pub fn grid(scenario: &Scenario, arm: &Arm, axes: &[Axis]) -> Result<Vec<Point>, LabError> {
     let argument = |key: &str, what: String| LabError::Argument(format!("{key}: {what}"));
     let mut points = vec![Point { values: Vec::new(), scenario: scenario.clone(), arm: arm.clone() }];
@@ -80,13 +79,13 @@
                 if let Some(key) = axis.key.strip_prefix("tuning.") {
                     let mut tree = toml::Value::try_from(&point.arm.tuning)
                         .map_err(|e| argument(&axis.key, e.to_string()))?;
-                    set(&mut tree, key, value.clone()).map_err(|e| argument(&axis.key, e))?;
+                    set_key(&mut tree, key, value.clone()).map_err(|e| argument(&axis.key, e))?;
                     point.arm.tuning =
                         Tuning::deserialize(tree).map_err(|e| argument(&axis.key, e.message().to_owned()))?;
                 } else {
                     let mut tree = toml::Value::try_from(&point.scenario)
                         .map_err(|e| argument(&axis.key, e.to_string()))?;
-                    set(&mut tree, &axis.key, value.clone()).map_err(|e| argument(&axis.key, e))?;
+                    set_key(&mut tree, &axis.key, value.clone()).map_err(|e| argument(&axis.key, e))?;
                     let text = toml::to_string(&tree).map_err(|e| argument(&axis.key, e.to_string()))?;
                     point.scenario = Scenario::parse(&text, Path::new(&axis.key))?;
                 }
@@ -100,17 +99,17 @@
 
 /// The figures of one point.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Swept {
+pub struct PointResult {
     /// The values, by axis.
     pub values: Vec<String>,
-    /// Means with Student's interval over the days.
+    /// Named means with Student's 95% interval over the days.
     pub figures: Vec<(String, Interval)>,
-    /// Days on which a rule was broken.
+    /// Number of days on which a rule was broken.
     pub broken_days: usize,
 }
 
-/// Sums up the days of a point.
-pub fn sum_up(point: &Point, days: &[DayResult]) -> Swept {
+/// Computes the figures of a point from its days.
+pub fn summarize(point: &Point, days: &[DayResult]) -> PointResult {
     let all: Vec<_> = days.iter().map(|d| figures(&point.scenario, d)).collect();
     let names = all.first().map(|f| f.iter().map(|(n, _)| n.clone()).collect::<Vec<_>>()).unwrap_or_default();
     let figures = names.into_iter().enumerate().map(|(ix, name)| {
@@ -118,21 +117,21 @@
         (name, t_interval(&xs))
     });
     let broken_days = days.iter().filter(|d| d.broken_rules > 0).count();
-    Swept { values: point.values.clone(), figures: figures.collect(), broken_days }
+    PointResult { values: point.values.clone(), figures: figures.collect(), broken_days }
 }
 
-/// For people.
-pub fn text(axes: &[Axis], swept: &[Swept]) -> String {
+/// Formats the results as a text table.
+pub fn format_table(axes: &[Axis], results: &[PointResult]) -> String {
     let mut header: Vec<&str> = axes.iter().map(|a| a.key.as_str()).collect();
     let names: Vec<&str> =
-        swept.first().map(|s| s.figures.iter().map(|(n, _)| n.as_str()).collect()).unwrap_or_default();
+        results.first().map(|s| s.figures.iter().map(|(n, _)| n.as_str()).collect()).unwrap_or_default();
     header.extend(names);
     header.push("broken days");
-    let row = |s: &Swept| {
+    let row = |s: &PointResult| {
         let mut row = s.values.clone();
         row.extend(s.figures.iter().map(|(_, i)| table::with_interval(i)));
         row.push(s.broken_days.to_string());
         row
     };
-    table::plain(&header, swept.iter().map(row).collect())
+    table::plain(&header, results.iter().map(row).collect())
 }
--- a/crates/lab/src/study/table.rs
+++ b/crates/lab/src/study/table.rs
@@ -1,15 +1,15 @@
-//! Tables for people, CSV and JSON for programs.
+//! Text tables and CSV of results.
 
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
 
 use super::compare::Comparison;
 use super::stats::Interval;
-use super::{asides, figures};
+use super::{figures, secondary_figures};
 use crate::scenario::Scenario;
 use crate::world::DayResult;
 
-/// A plain table: the first column to the left, the others to the right.
+/// Formats a plain text table with a left-aligned first column and right-aligned other columns.
 pub fn plain(header: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut table = Table::new();
     table.load_preset(NOTHING).set_header(header.iter().map(|h| (*h).to_owned()));
@@ -26,7 +26,7 @@
     lines.join("\n")
 }
 
-/// `0.812 ± 0.004`.
+/// Formats a mean with half its interval, such as `0.8120 ± 0.0040`.
 pub fn with_interval(i: &Interval) -> String {
     match i.half {
         Some(half) => format!("{:.4} ± {half:.4}", i.mean),
@@ -34,8 +34,8 @@
     }
 }
 
-/// The days of one run.
-pub fn days(scenario: &Scenario, results: &[DayResult]) -> String {
+/// Table of the days of one run.
+pub fn days_table(scenario: &Scenario, results: &[DayResult]) -> String {
     let Some(first) = results.first() else { return String::new() };
     let names: Vec<String> = figures(scenario, first).into_iter().map(|(name, _)| name).collect();
     let mut header = vec!["seed", "exchanges", "calls"];
@@ -51,16 +51,16 @@
     plain(&header, rows)
 }
 
-/// What explains the figures of one run, as means over its days.
-pub fn aside(scenario: &Scenario, results: &[DayResult]) -> String {
-    let all: Vec<_> = results.iter().map(|d| asides(scenario, d)).collect();
+/// Table of the explanatory figures of one run, as means over its days.
+pub fn secondary_table(scenario: &Scenario, results: &[DayResult]) -> String {
+    let all: Vec<_> = results.iter().map(|d| secondary_figures(scenario, d)).collect();
     let Some(first) = all.first() else { return String::new() };
     let mean = |ix: usize| all.iter().map(|a| a[ix].1).sum::<f64>() / all.len() as f64;
     let rows = first.iter().enumerate().map(|(ix, (name, _))| vec![name.clone(), format!("{:.4}", mean(ix))]);
     plain(&["mean of the days", ""], rows.collect())
 }
 
-/// A comparison.
+/// Tables of a comparison, with a summary sentence for each candidate.
 pub fn comparison(c: &Comparison) -> String {
     let mut out = String::new();
     for candidate in &c.candidates {
@@ -70,13 +70,13 @@
                 with_interval(&f.baseline),
                 with_interval(&f.candidate),
                 with_interval(&f.difference),
-                f.verdict.words().to_owned(),
+                f.verdict.label().to_owned(),
                 if f.apart { "apart" } else { "" }.to_owned(),
             ]
         });
         let header = ["", c.baseline.as_str(), candidate.name.as_str(), "difference", "verdict", "intervals"];
         out.push_str(&format!("{}\n\n", plain(&header, rows.collect())));
-        let rows = candidate.asides.iter().map(|f| {
+        let rows = candidate.secondary_figures.iter().map(|f| {
             vec![
                 f.name.clone(),
                 with_interval(&f.baseline),
@@ -119,7 +119,7 @@
                 number(f.candidate.half),
                 number(Some(f.difference.mean)),
                 number(f.difference.half),
-                f.verdict.words().to_owned(),
+                f.verdict.label().to_owned(),
                 f.apart.to_string(),
             ]);
         }
--- a/crates/lab/src/study/verify.rs
+++ b/crates/lab/src/study/verify.rs
@@ -1,5 +1,5 @@
-//! The model held against theory: Erlang's loss formula, the M/M/1 line, Little's law, conservation, and the
-//! paper's procedure for thresholds.
+//! Checks of the model against theory: Erlang's loss formula, the M/M/1 queue, Little's law, conservation, and the
+//! paper's procedure for setting overload thresholds.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-use super::paper::{walk, Steady, Walk};
+use super::paper::{run_procedure, ProcedureResult, Steady};
 use super::stats::{t_interval, Interval};
 use super::table;
 use crate::day::Day;
@@ -17,29 +17,30 @@
 use crate::world::{run, DayResult};
 use crate::LabError;
 
-/// One figure beside what theory says.
+/// One figure compared with theory.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Check {
     /// What is checked.
     pub name: String,
-    /// What theory says.
+    /// Value according to theory.
     pub expected: f64,
-    /// What the model does, with its 95% interval over independent runs.
+    /// Value in the model, with its 95% interval over independent runs.
     pub measured: Interval,
-    /// Measured over expected, less 1; the plain difference where nothing is expected.
+    /// Relative deviation of the measured value; the absolute one if 0 is expected.
     pub deviation: f64,
-    /// It is within the tolerance, or theory lies within the interval.
+    /// Whether the deviation is within the tolerance or the expected value within the interval.
     pub holds: bool,
 }
 
-/// The largest relative deviation that is no finding.
-const TOLERANCE: f64 = 0.03;
+/// The largest accepted relative deviation, as a share.
+const TOLERANCE_SHARE: f64 = 0.03;
 
+/// Checks values of independent runs against the expected value.
 fn check(name: String, expected: f64, measured: &[f64]) -> Check {
     let measured = t_interval(measured);
     let deviation = if expected == 0.0 { measured.mean } else { measured.mean / expected - 1.0 };
     let within = measured.ends().is_some_and(|(low, high)| low <= expected && expected <= high);
-    Check { name, expected, measured, deviation, holds: within || deviation.abs() <= TOLERANCE }
+    Check { name, expected, measured, deviation, holds: within || deviation.abs() <= TOLERANCE_SHARE }
 }
 
 /// Erlang's loss formula by its recursion: the share of calls that find all of `circuits` busy at `erlangs`.
@@ -50,8 +51,8 @@
     })
 }
 
-/// Two exchanges and nothing else: no delays, no redials, one class, one tenant, even traffic.
-fn bare(seconds: f64, erlangs: f64, size: u32, processor: &str) -> Result<Scenario, LabError> {
+/// A scenario for comparison with theory: two exchanges, no delays, no redials, one class, one tenant, even traffic.
+fn theory_scenario(seconds: f64, erlangs: f64, size: u32, processor: &str) -> Result<Scenario, LabError> {
     let text = format!(
         r#"
         name = "theory"
@@ -93,16 +94,18 @@
     Scenario::parse(&text, Path::new("built in"))
 }
 
-fn runs(scenario: &Scenario, seeds: u64) -> Result<Vec<DayResult>, LabError> {
-    let one = |seed: u64| {
+/// Simulates days 1 to `seeds` of a scenario without control by a proxy.
+fn run_seeds(scenario: &Scenario, seeds: u64) -> Result<Vec<DayResult>, LabError> {
+    let run_one = |seed: u64| {
         let day = Day::draw(scenario, seed);
         run(&day, &generate(&day), &mut Direct::default(), 0)
     };
-    (1..=seeds).into_par_iter().map(one).collect()
+    (1..=seeds).into_par_iter().map(run_one).collect()
 }
 
-/// Little's law in a processor's line: the mean number there, over the rate of set-ups times their mean time there.
-fn little_in_line(day: &DayResult, set_up_s: f64) -> f64 {
+/// Little's law in a processor's queue: the mean number of jobs present, divided by the rate of set-ups times their
+/// mean time in the system.
+fn little_in_queue(day: &DayResult, set_up_s: f64) -> f64 {
     let line = &day.lines[0];
     let all: f64 = line.present.iter().sum();
     let mean = line.present.iter().enumerate().map(|(k, t)| k as f64 * t).sum::<f64>() / all.max(1.0);
@@ -110,8 +113,8 @@
     mean / (rate * (line.waited / line.served.max(1) as f64 / 1e6 + set_up_s)).max(1e-12)
 }
 
-/// Theory's other checks, which every run has to pass.
-fn conserved(name: &str, days: &[DayResult]) -> Vec<Check> {
+/// Checks that apply to every run: conservation, no broken rules, and Little's law for established calls.
+fn conservation_checks(name: &str, days: &[DayResult]) -> Vec<Check> {
     let leaks: Vec<f64> = days.iter().map(|d| (d.leaks.len() as u64 + d.broken_rules) as f64).collect();
     let little: Vec<f64> = days.iter().map(|d| d.little[0] / d.little[1].max(1e-12)).collect();
     vec![
@@ -120,37 +123,38 @@
     ]
 }
 
-/// Blocking of one group at several loads.
-fn blocking(scale: f64) -> Result<Vec<Check>, LabError> {
+/// Checks the blocking of a trunk group at several loads against Erlang's loss formula.
+fn blocking_checks(scale: f64) -> Result<Vec<Check>, LabError> {
     let mut checks = Vec::new();
     for (size, erlangs) in [(10, 5.0), (20, 12.0), (20, 20.0), (20, 30.0), (60, 54.0)] {
-        // Half of the group's traffic comes from either end.
-        let scenario = bare(20_000.0 * scale, erlangs / 2.0, size, "use = 0")?;
-        let days = runs(&scenario, 16)?;
+        // Each end of the group offers half of its traffic.
+        let scenario = theory_scenario(20_000.0 * scale, erlangs / 2.0, size, "use = 0")?;
+        let days = run_seeds(&scenario, 16)?;
         let blocked: Vec<f64> =
             days.iter().map(|d| d.groups[0].1 as f64 / d.groups[0].0.max(1) as f64).collect();
         let name = format!("Erlang B, {size} circuits, {erlangs} Erlang");
         checks.push(check(name, erlang_b(size, erlangs), &blocked));
-        checks.extend(conserved(&format!("{size} circuits, {erlangs} Erlang"), &days));
+        checks.extend(conservation_checks(&format!("{size} circuits, {erlangs} Erlang"), &days));
     }
     Ok(checks)
 }
 
-/// The line of a processor. Its set-ups come from its own callers and from the other exchange, whose line they
-/// have passed: a Jackson network, in which every line is an M/M/1 of its own.
-fn line(scale: f64) -> Result<Vec<Check>, LabError> {
+/// Checks the queue of a processor against M/M/1. Its set-ups come from its own callers and from the other
+/// exchange, after they have passed that exchange's queue: a Jackson network, in which every queue behaves as an
+/// independent M/M/1 queue.
+fn queue_checks(scale: f64) -> Result<Vec<Check>, LabError> {
     let mut checks = Vec::new();
     for busy in [0.5, 0.7, 0.85] {
         let processor = format!(
             "use = {busy}\nlook = 0\nfollow = 0\nwork = \"exponential\"\nlongest_wait_ms = 1e9\ncold_s = 1"
         );
-        let scenario = bare(4000.0 * scale, 100.0, 100_000, &processor)?;
-        let days = runs(&scenario, 16)?;
+        let scenario = theory_scenario(4000.0 * scale, 100.0, 100_000, &processor)?;
+        let days = run_seeds(&scenario, 16)?;
         let set_up = Day::draw(&scenario, 1).works.set_up_us / 1e6;
         let waits: Vec<f64> =
             days.iter().map(|d| d.lines[0].waited / d.lines[0].served.max(1) as f64 / 1e6).collect();
         checks.push(check(format!("M/M/1 at {busy}: mean wait, s"), busy * set_up / (1.0 - busy), &waits));
-        let little: Vec<f64> = days.iter().map(|d| little_in_line(d, set_up)).collect();
+        let little: Vec<f64> = days.iter().map(|d| little_in_queue(d, set_up)).collect();
         checks.push(check(format!("M/M/1 at {busy}: Little's law in the line"), 1.0, &little));
         for k in [0usize, 1, 2, 4, 8] {
             let present = |d: &DayResult| {
@@ -161,23 +165,23 @@
             let expected = (1.0 - busy) * busy.powi(k as i32);
             checks.push(check(format!("M/M/1 at {busy}: share of time with {k} present"), expected, &shares));
         }
-        checks.extend(conserved(&format!("M/M/1 at {busy}"), &days));
+        checks.extend(conservation_checks(&format!("M/M/1 at {busy}"), &days));
     }
     Ok(checks)
 }
 
-/// Shipped proxies whose levels are read after every tick.
-struct Watched {
+/// Shipped proxies, with a record of their overload levels after every tick.
+struct LevelRecorder {
     inner: Shipped,
-    /// Levels of far processors, by proxy and exchange.
+    /// Last overload levels of far exchanges, by proxy and exchange.
     last: Vec<Vec<usize>>,
-    /// Moves of a far level, by from and to.
+    /// Number of changes of a far level, by old and new level.
     moves: [[u64; 5]; 5],
-    /// Ticks spent with a far level.
+    /// Number of ticks at each far level, over all proxies and exchanges.
     spent: [u64; 5],
 }
 
-impl Seats for Watched {
+impl Seats for LevelRecorder {
     fn start(
         &mut self,
         day: &Day,
@@ -215,31 +219,31 @@
 /// One steady load of the paper's procedure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SteadyLoad {
-    /// Offered over planned.
+    /// Offered load, relative to the planned load.
     pub offered: f64,
     /// Share of the time at each level.
     pub spent: [f64; 5],
-    /// Moves between neighbouring levels, and all moves.
+    /// Number of changes between adjacent levels, and of all level changes.
     pub neighbours: [u64; 2],
-    /// Longest line seen at a processor.
+    /// Longest queue of a processor.
     pub high: usize,
 }
 
-/// The shipped module's far levels under steady loads.
+/// Far overload levels of the shipped controller under steady loads.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Levels {
-    /// The loads and the levels that they bring.
+    /// Results by load.
     pub loads: Vec<SteadyLoad>,
-    /// The lowest load at which a twentieth of the time is spent at each level or above.
+    /// For each level, the lowest load at which a twentieth of the time is spent at it or above.
     pub first: Vec<(usize, f64)>,
-    /// Share of all moves that were between neighbours.
+    /// Share of all level changes that were between adjacent levels.
     pub neighbours: f64,
 }
 
-/// Far levels under steady loads, with exchanges whose processors alone are short.
-fn levels(tuning: &Tuning, scale: f64) -> Result<Levels, LabError> {
+/// Measures far levels under steady loads in a fleet where only processor capacity is scarce.
+fn far_levels(tuning: &Tuning, scale: f64) -> Result<Levels, LabError> {
     let loads = [0.8, 1.0, 1.1, 1.2, 1.35, 1.5, 1.75, 2.0, 2.5, 3.0];
-    let one = |offered: &f64| -> Result<SteadyLoad, LabError> {
+    let run_one = |offered: &f64| -> Result<SteadyLoad, LabError> {
         let text = format!(
             r#"
             name = "steady"
@@ -273,7 +277,7 @@
         let (mut spent, mut neighbours, mut high) = ([0u64; 5], [0u64; 2], 0);
         for seed in 1..=4 {
             let day = Day::draw(&scenario, seed);
-            let mut seats = Watched {
+            let mut seats = LevelRecorder {
                 inner: Shipped::new(tuning.clone()),
                 last: vec![vec![0; day.n]; day.n],
                 moves: [[0; 5]; 5],
@@ -293,7 +297,7 @@
         let spent = spent.map(|s| s as f64 / all);
         Ok(SteadyLoad { offered: *offered, spent, neighbours, high })
     };
-    let loads: Vec<SteadyLoad> = loads.par_iter().map(one).collect::<Result<_, _>>()?;
+    let loads: Vec<SteadyLoad> = loads.par_iter().map(run_one).collect::<Result<_, _>>()?;
     // A level is reported once a twentieth of the time is spent there or above.
     let reported = |level: usize| loads.iter().find(|l| l.spent[level..].iter().sum::<f64>() >= 0.05);
     let first = (1..5).filter_map(|level| reported(level).map(|l| (level, l.offered))).collect();
@@ -301,14 +305,14 @@
     Ok(Levels { loads, first, neighbours: moves[0] as f64 / moves[1].max(1) as f64 })
 }
 
-/// All of it.
+/// Result of all checks.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verification {
-    /// Against theory.
+    /// Checks against theory.
     pub checks: Vec<Check>,
     /// The paper's procedure (section 3.3), from three onsets of level 1.
-    pub procedure: Vec<Walk>,
-    /// The shipped module's levels, which rest on late reports of many senders.
+    pub procedure: Vec<ProcedureResult>,
+    /// Overload levels of the shipped controller, which relies on delayed reports from many senders.
     pub shipped: Levels,
 }
 
@@ -318,7 +322,7 @@
         self.checks.iter().all(|c| c.holds)
     }
 
-    /// For people.
+    /// Formats the result as text tables.
     pub fn text(&self) -> String {
         let row = |c: &Check| {
             vec![
@@ -339,8 +343,8 @@
         let header = ["against theory", "expected", "measured", "deviation", ""];
         let mut text = table::plain(&header, self.checks.iter().map(row).collect());
         text.push_str("\n\n");
-        for walk in &self.procedure {
-            text.push_str(&walk_text(walk));
+        for result in &self.procedure {
+            text.push_str(&procedure_text(result));
         }
         text.push_str("The shipped module's far levels, which rest on late reports:\n\n");
         let row = |l: &SteadyLoad| {
@@ -369,19 +373,20 @@
     }
 }
 
+/// Table headings of the overload levels.
 const LEVELS: [&str; 5] = ["level 0", "level 1", "level 2", "level 3", "level 4"];
 
-/// One walk of the paper's procedure, for people.
-fn walk_text(walk: &Walk) -> String {
+/// Formats one run of the paper's procedure.
+fn procedure_text(result: &ProcedureResult) -> String {
     let list = |xs: &[f64]| xs.iter().map(|x| format!("{x:.1}")).collect::<Vec<_>>().join(", ");
     let mut text = format!(
         "The paper's procedure from onset 1 = {:.0} set-ups:\n  step 1, loads that report levels 1 to 4: {}\n  \
          step 2, the line leaves its thresholds by: {}\n  step 3, onsets {}; abates {}\n\n",
-        walk.onset1,
-        walk.loads.iter().map(|x| format!("{x:.2}")).collect::<Vec<_>>().join(", "),
-        list(&walk.deltas),
-        list(&walk.tuned.onset),
-        list(&walk.tuned.abate),
+        result.onset1,
+        result.loads.iter().map(|x| format!("{x:.2}")).collect::<Vec<_>>().join(", "),
+        list(&result.deltas),
+        list(&result.tuned.onset),
+        list(&result.tuned.abate),
     );
     let row = |(name, s): (&str, &Steady)| {
         let mut row = vec![name.to_owned(), format!("{:.2}", s.offered)];
@@ -391,8 +396,8 @@
         row.push(format!("{:.1}%", s.two_neighbours() * 100.0));
         row
     };
-    let tuned = walk.with_tuned.iter().map(|s| ("step 3", s));
-    let rows = tuned.chain(walk.with_doubling.iter().map(|s| ("doubling", s))).map(row).collect();
+    let tuned = result.with_tuned.iter().map(|s| ("step 3", s));
+    let rows = tuned.chain(result.with_doubling.iter().map(|s| ("doubling", s))).map(row).collect();
     let mut header = vec!["thresholds", "steady load"];
     header.extend(LEVELS);
     header.extend(["highest depth", "moves to a neighbour", "in two neighbours"]);
@@ -400,12 +405,13 @@
     text
 }
 
-/// Holds the model against theory. `scale` shortens the runs (1 is the full length).
+/// Checks the model against theory. `scale` sets the length of the runs; 1 is the full length.
 pub fn verify(scale: f64) -> Result<Verification, LabError> {
-    let mut checks = blocking(scale)?;
-    checks.extend(line(scale)?);
-    let procedure = [6.0, 12.0, 24.0].into_par_iter().map(|onset1| walk(onset1, 300.0 * scale, 1)).collect();
-    Ok(Verification { checks, procedure, shipped: levels(&Tuning::default(), scale)? })
+    let mut checks = blocking_checks(scale)?;
+    checks.extend(queue_checks(scale)?);
+    let procedure =
+        [6.0, 12.0, 24.0].into_par_iter().map(|onset1| run_procedure(onset1, 300.0 * scale, 1)).collect();
+    Ok(Verification { checks, procedure, shipped: far_levels(&Tuning::default(), scale)? })
 }
 
 #[cfg(test)]
--- a/crates/lab/tests/cli.rs
+++ b/crates/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program: exit codes, one clear error for bad input, candidates that are programs.
+//! Tests of the command line: exit codes, errors for invalid input, candidate programs.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -14,15 +14,15 @@
 
 fn file(dir: &Path, name: &str, content: &str) -> String {
     let path = dir.join(name);
-    std::fs::write(&path, content).expect("it can be written");
+    std::fs::write(&path, content).expect("writing the file succeeds");
     path.to_string_lossy().into_owned()
 }
 
 const SMALL: &str = "name = \"small\"\nseconds = 5\n[fleet]\nexchanges = 3\n";
 
 #[test]
-fn bad_scenarios_get_one_clear_error_and_code_2() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn invalid_scenarios_give_one_error_and_exit_code_2() {
+    let dir = tempfile::tempdir().expect("temporary folder");
     let cases = [
         ("name = \"x\"\nseconds = 5\n", "missing field `fleet`"),
         ("name = \"x\"\n[fleet]\nexchanges = 0\n", "bad.toml:3: fleet.exchanges: want a number above 0"),
@@ -50,7 +50,7 @@
         let out = lab(&["run", &path]);
         let error = text(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{error}");
-        assert!(error.contains(wanted), "{error} does not say {wanted}");
+        assert!(error.contains(wanted), "{error} does not contain {wanted}");
         assert_eq!(error.trim_end().lines().count(), 1, "one error: {error}");
         assert!(out.stdout.is_empty());
     }
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn a_small_day_runs_and_prints_for_people_and_programs() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn run_prints_text_and_json_independent_of_threads() {
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = file(dir.path(), "small.toml", SMALL);
     let out = lab(&["run", &path, "--days", "2"]);
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
@@ -70,14 +70,14 @@
     let days: serde_json::Value = serde_json::from_slice(&out.stdout).expect("JSON");
     assert_eq!(days.as_array().map(Vec::len), Some(2));
     assert!(days[0]["service"]["figure"].as_f64().is_some_and(|x| x > 0.5));
-    // The same, byte for byte, on one thread and on four.
+    // The output is the same on one thread and on four.
     let one = lab(&["run", &path, "--days", "4", "--json", "--threads", "1"]).stdout;
     assert_eq!(text(&one), text(&lab(&["run", &path, "--days", "4", "--json", "--threads", "4"]).stdout));
 }
 
 #[test]
-fn a_worse_candidate_is_a_finding_and_its_results_are_kept() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn worse_candidate_exits_with_1_and_results_are_written() {
+    let dir = tempfile::tempdir().expect("temporary folder");
     let busy = "name = \"busy\"\nseconds = 14\n[fleet]\nexchanges = 4\n[load]\noffered = 1.4\n";
     let path = file(dir.path(), "busy.toml", busy);
     let out = lab(&["compare", &path, "--candidate", "refused-pause-3s", "--days", "8", "--keep"]);
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn candidates_that_make_no_sense_are_refused() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn invalid_candidates_are_rejected() {
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = file(dir.path(), "small.toml", SMALL);
     let bad = file(dir.path(), "bad.toml", "name = \"bad\"\n[tuning]\nabate = 0.4\n");
     let unknown = file(dir.path(), "unknown.toml", "name = \"bad\"\n[tuning]\nabait = 0.6\n");
@@ -104,13 +104,13 @@
         let error = text(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{error}");
         assert!(error.contains(wanted), "{error}");
-        assert!(!dir.path().join("small").exists(), "nothing is kept");
+        assert!(!dir.path().join("small").exists(), "no results are written");
     }
 }
 
 #[test]
-fn programs_that_die_or_babble_end_the_run_with_one_error() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn failing_candidate_programs_give_one_error() {
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = file(dir.path(), "small.toml", SMALL);
     let program = |name: &str, script: &str| {
         let list = format!("name = \"{name}\"\nprogram = [\"/bin/sh\", \"-c\", '{script}']\n");
@@ -135,14 +135,14 @@
         let out = lab(&["compare", &path, "--candidate", &candidate, "--days", "2", "--keep"]);
         let error = text(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{candidate}: {error}");
-        assert!(error.contains(wanted), "{error} does not say {wanted}");
+        assert!(error.contains(wanted), "{error} does not contain {wanted}");
         assert_eq!(error.trim_end().lines().count(), 1, "{error}");
-        assert!(!dir.path().join("small").exists(), "nothing is kept");
+        assert!(!dir.path().join("small").exists(), "no results are written");
     }
 }
 
 #[test]
-fn the_schema_is_printed() {
+fn schema_commands_print_json_schemas() {
     for arguments in [&["schema"][..], &["schema", "--candidate"]] {
         let out = lab(arguments);
         let schema: serde_json::Value = serde_json::from_slice(&out.stdout).expect("JSON");
--- a/crates/lab/tests/study.rs
+++ b/crates/lab/tests/study.rs
@@ -1,4 +1,4 @@
-//! Comparisons name what is worse and what is not; results are kept whole or not at all.
+//! Tests of comparisons and their verdicts, of result files, of parameter grids and of the experiments' schema.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use mallowring_lab::study::compare::{compare, Comparison};
 use mallowring_lab::study::stats::Verdict;
 use mallowring_lab::study::sweep::{grid, Axis};
-use mallowring_lab::study::{keep, play, Arm};
+use mallowring_lab::study::{keep, run_arms, Arm};
 
 fn built_in(name: &str) -> Arm {
     Arm::named(name).expect("it is built in")
@@ -20,7 +20,8 @@
 fn compared(scenario: &Scenario, names: &[&str], days: u64) -> Comparison {
     let arms: Vec<Arm> = names.iter().map(|n| built_in(n)).collect();
     let seeds: Vec<u64> = (1..=days).collect();
-    let played = play(scenario, &arms, &seeds, None, &ProgressBar::hidden()).expect("shipped proxies play");
+    let played =
+        run_arms(scenario, &arms, &seeds, None, &ProgressBar::hidden()).expect("shipped proxies play");
     compare(scenario, &seeds, &arms, &played)
 }
 
@@ -40,12 +41,12 @@
     }
     let harmless = &c.candidates[3];
     assert_eq!(harmless.figures[0].verdict, Verdict::NoDifference, "{}", harmless.sentence);
-    // Both arms met the very same callers.
+    // The figures are the three of service, and one for each class and tenant.
     assert_eq!(c.candidates[3].figures.len(), 3 + s.classes.len() + s.tenants.len());
 }
 
 #[test]
-fn a_comparison_with_itself_is_no_difference_at_all() {
+fn comparison_with_itself_finds_no_difference() {
     let c = compared(&scenario(8, ""), &["today", "today"], 3);
     for figure in &c.candidates[0].figures {
         assert_eq!((figure.difference.mean, figure.verdict), (0.0, Verdict::NoDifference), "{}", figure.name);
@@ -53,30 +54,30 @@
 }
 
 #[test]
-fn results_are_kept_whole_or_not_at_all() {
+fn failed_write_leaves_earlier_results_unchanged() {
     let c = compared(&scenario(6, ""), &["today", "refusal-off"], 3);
     let dir = tempfile::tempdir().expect("a folder");
     let kept = dir.path().join("kept");
-    keep::comparison(&kept, &c).expect("it can be kept");
-    assert_eq!(keep::read(&kept).expect("it can be read"), c);
+    keep::write_comparison(&kept, &c).expect("it can be kept");
+    assert_eq!(keep::read_comparison(&kept).expect("it can be read"), c);
     for name in
         ["table.csv", "report.md", "figures.svg", "service.svg", "occupancy.svg", "wait.svg", "levels.svg"]
     {
         let text = std::fs::read_to_string(kept.join(name)).expect(name);
         assert!(text.len() > 200, "{name}: {text}");
     }
-    // A name that can't be a file: what was kept stays, and nothing else is left.
+    // Writing to an invalid file name fails; the earlier results stay, and no staging folder remains.
     let before = std::fs::read_to_string(kept.join("report.md")).expect("it is there");
-    let error = keep::files(&kept, &[("report.md", "new".into()), ("no/such/folder", "x".into())]);
+    let error = keep::write_files(&kept, &[("report.md", "new".into()), ("no/such/folder", "x".into())]);
     assert!(error.is_err());
     assert_eq!(std::fs::read_to_string(kept.join("report.md")).expect("it is there"), before);
     let left: Vec<_> =
         std::fs::read_dir(dir.path()).expect("a folder").map(|e| e.expect("an entry").file_name()).collect();
-    assert_eq!(left, ["kept"], "nothing half-written stays");
+    assert_eq!(left, ["kept"], "no staging folder remains");
 }
 
 #[test]
-fn a_grid_takes_keys_of_both_sides_and_names_a_bad_one() {
+fn grid_sets_scenario_and_tuning_keys_and_reports_invalid_ones() {
     let s = scenario(6, "");
     let axes: Vec<Axis> = ["load.offered=0.7,[0.8, 0.9]", "tuning.abate=0.55,0.65"]
         .iter()
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn every_experiment_fits_the_schema_and_bad_ones_do_not() {
+fn experiments_match_the_schema_and_invalid_scenarios_do_not() {
     let schema = serde_json::to_value(Scenario::schema()).expect("a schema is JSON");
     let validator = jsonschema::validator_for(&schema).expect("a schema");
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments");
@@ -120,7 +121,7 @@
         seen += 1;
     }
     assert!(seen >= 14, "{seen}");
-    // Reading and the schema refuse alike.
+    // The reader and the schema reject the same files.
     for text in [
         "[fleet]\nexchanges = 4\n[load]\noffered = -1",
         "[fleet]\nexchanges = 4\nexchange = 5",
