--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -226,7 +226,7 @@
 /// The scenario of `run` when no file is given.
 const DEFAULT_SCENARIO: &str = include_str!("../../../experiments/quiet.toml");
 
-/// Runs the program.
+/// Parses the arguments, runs the command and returns the exit code.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Some(threads) = cli.threads {
@@ -243,11 +243,12 @@
     }
 }
 
-fn progress_bar(what: &str) -> ProgressBar {
+/// A progress bar on standard error; hidden if that is not a terminal.
+fn progress_bar(message: &str) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
-    let progress_bar = ProgressBar::new(0).with_message(what.to_owned());
+    let progress_bar = ProgressBar::new(0).with_message(message.to_owned());
     // The template is constant and valid.
     if let Ok(style) = ProgressStyle::with_template("{msg} {bar:30} {pos}/{len} days, {eta} left") {
         progress_bar.set_style(style);
@@ -256,6 +257,7 @@
     progress_bar
 }
 
+/// Reads a scenario file, or the default scenario if none is given.
 fn read_scenario(scenario: Option<&Path>) -> Result<Scenario, LabError> {
     match scenario {
         Some(path) => Scenario::read(path),
@@ -290,43 +292,44 @@
     days.iter().any(|d| d.broken_rules > 0 || !d.leaks.is_empty())
 }
 
+/// Runs a command; returns false if it has a finding.
 fn execute(command: Command) -> Result<bool, LabError> {
     match command {
         Command::Run { scenario, days, candidate, traffic, json } => {
             let scenario = read_scenario(scenario.as_deref())?;
             let arms = [Arm::named(&candidate)?];
-            let mut played =
+            let mut results =
                 run_arms(&scenario, &arms, &days.seeds(), traffic.as_deref(), &progress_bar(&scenario.name))?;
-            let played = played.pop().unwrap_or_default();
+            let results = results.pop().unwrap_or_default();
             if json {
-                print_text(&keep::to_json(&played));
+                print_text(&keep::to_json(&results));
             } else {
                 print_text(&format!(
                     "{}: {}\n\n{}\n\n{}",
                     scenario.name,
                     scenario.about,
-                    table::days_table(&scenario, &played),
-                    table::secondary_table(&scenario, &played)
+                    table::days_table(&scenario, &results),
+                    table::secondary_table(&scenario, &results)
                 ));
             }
-            Ok(!report_findings(&candidate, &played))
+            Ok(!report_findings(&candidate, &results))
         }
         Command::Compare { scenarios, candidate, baseline, days, traffic, keep: keep_files, json, csv } => {
             let mut arms = vec![Arm::named(&baseline)?];
             for name in &candidate {
                 arms.push(Arm::named(name)?);
             }
-            let read: Vec<(PathBuf, Scenario)> = scenarios
+            let loaded: Vec<(PathBuf, Scenario)> = scenarios
                 .into_iter()
                 .map(|path| Scenario::read(&path).map(|s| (path, s)))
                 .collect::<Result<_, _>>()?;
             let mut passed = true;
-            for (path, scenario) in read {
+            for (path, scenario) in loaded {
                 let seeds = days.seeds();
-                let played =
+                let results =
                     run_arms(&scenario, &arms, &seeds, traffic.as_deref(), &progress_bar(&scenario.name))?;
-                let result = compare::compare(&scenario, &seeds, &arms, &played);
-                arms.iter().zip(&played).for_each(|(arm, days)| passed &= !report_findings(&arm.name, days));
+                let result = compare::compare(&scenario, &seeds, &arms, &results);
+                arms.iter().zip(&results).for_each(|(arm, days)| passed &= !report_findings(&arm.name, days));
                 let worse =
                     |c: &compare::Candidate| c.figures.first().is_some_and(|f| f.verdict == Verdict::Worse);
                 passed &= !result.candidates.iter().any(worse);
@@ -368,8 +371,8 @@
             for point in &points {
                 let name = point.values.join(", ");
                 let arms = std::slice::from_ref(&point.arm);
-                let played = run_arms(&point.scenario, arms, &days.seeds(), None, &progress_bar(&name))?;
-                swept.push(sweep::summarize(point, played.first().map_or(&[], Vec::as_slice)));
+                let results = run_arms(&point.scenario, arms, &days.seeds(), None, &progress_bar(&name))?;
+                swept.push(sweep::summarize(point, results.first().map_or(&[], Vec::as_slice)));
             }
             print_text(&if json { keep::to_json(&swept) } else { sweep::format_table(&axes, &swept) });
             Ok(swept.iter().all(|s| s.broken_days == 0))
@@ -456,8 +459,8 @@
     for repeat in 0..times {
         let seeds: Vec<u64> = (0..days).map(|d| 1 + repeat * days + d).collect();
         let arms = [arm(2 * repeat), arm(2 * repeat + 1)];
-        let played = run_arms(&scenario, &arms, &seeds, None, &progress)?;
-        let result = compare::compare(&scenario, &seeds, &arms, &played);
+        let results = run_arms(&scenario, &arms, &seeds, None, &progress)?;
+        let result = compare::compare(&scenario, &seeds, &arms, &results);
         comparisons += 1;
         for figure in result.candidates.iter().flat_map(|c| &c.figures) {
             *differing.entry(figure.name.clone()).or_insert(0) +=
--- a/crates/lab/src/study/chart.rs
+++ b/crates/lab/src/study/chart.rs
@@ -9,6 +9,7 @@
 
 /// Width and height of a chart, in pixels.
 const SIZE: (u32, u32) = (960, 480);
+/// Colours of the arms, the baseline first; they repeat if there are more arms.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(40, 40, 40),
     RGBColor(200, 60, 40),
@@ -22,6 +23,7 @@
     COLOURS[ix % COLOURS.len()]
 }
 
+/// Converts an error of the chart library.
 fn chart_error<E: std::fmt::Display>(name: &str) -> impl Fn(E) -> LabError + '_ {
     move |e| LabError::Chart { path: PathBuf::from(name), what: e.to_string() }
 }
--- a/crates/lab/src/study/compare.rs
+++ b/crates/lab/src/study/compare.rs
@@ -142,6 +142,7 @@
     (0..shortest).map(second).collect()
 }
 
+/// Number of days with a broken rule.
 fn count_broken_days(days: &[DayResult]) -> u32 {
     days.iter().filter(|d| d.broken_rules > 0).count() as u32
 }
@@ -173,17 +174,17 @@
 pub fn compare(scenario: &Scenario, seeds: &[u64], arms: &[Arm], days: &[Vec<DayResult>]) -> Comparison {
     let empty = Vec::new();
     let base = days.first().unwrap_or(&empty);
-    let candidate = |(arm, played): (&Arm, &Vec<DayResult>)| {
-        let figures = compare_figures(scenario, base, played, figures);
-        let broken_days = count_broken_days(played);
+    let candidate = |(arm, results): (&Arm, &Vec<DayResult>)| {
+        let figures = compare_figures(scenario, base, results, figures);
+        let broken_days = count_broken_days(results);
         Candidate {
             name: arm.name.clone(),
             about: arm.about.clone(),
             sentence: sentence(&figures, broken_days),
             figures,
-            secondary_figures: compare_figures(scenario, base, played, secondary_figures),
+            secondary_figures: compare_figures(scenario, base, results, secondary_figures),
             broken_days,
-            seconds: by_second(played),
+            seconds: by_second(results),
         }
     };
     Comparison {
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -58,7 +58,7 @@
 
 /// Result of a steady load.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Steady {
+pub struct SteadyResult {
     /// Rate of offered set-ups, relative to the processor's capacity without refusals.
     pub offered: f64,
     /// Share of the samples at each level.
@@ -71,9 +71,9 @@
     pub low: usize,
 }
 
-impl Steady {
+impl SteadyResult {
     /// The largest share of the samples that lies in two adjacent levels; the paper requires all of them.
-    pub fn two_neighbours(&self) -> f64 {
+    pub fn largest_adjacent_share(&self) -> f64 {
         self.spent.windows(2).map(|w| w[0] + w[1]).fold(0.0, f64::max)
     }
 
@@ -102,7 +102,7 @@
 }
 
 /// Simulates a steady load for `seconds`.
-pub fn steady(thresholds: &Thresholds, offered: f64, seconds: f64, seed: u64) -> Steady {
+pub fn run_steady_load(thresholds: &Thresholds, offered: f64, seconds: f64, seed: u64) -> SteadyResult {
     let works = processor_settings();
     let mut processor = Processor::new(ExchangeId(1), works, None);
     let mut arrivals = stream(seed, Purpose::Arrivals, 0);
@@ -142,7 +142,7 @@
         }
     }
     let all = spent.iter().sum::<u64>().max(1) as f64;
-    Steady { offered, spent: spent.map(|s| s as f64 / all), moves, high, low: low.min(high) }
+    SteadyResult { offered, spent: spent.map(|s| s as f64 / all), moves, high, low: low.min(high) }
 }
 
 /// Result of the procedure, by step.
@@ -157,9 +157,9 @@
     /// Step 3: the resulting thresholds.
     pub tuned: Thresholds,
     /// Results of steady loads with those thresholds.
-    pub with_tuned: Vec<Steady>,
+    pub with_tuned: Vec<SteadyResult>,
     /// Results of the same loads with thresholds that double from level to level.
-    pub with_doubling: Vec<Steady>,
+    pub with_doubling: Vec<SteadyResult>,
 }
 
 /// Margin between levels as a share of onset 1; the paper adds 100 to an onset of 500.
@@ -176,10 +176,10 @@
     let (mut loads, mut deltas) = (Vec::new(), Vec::new());
     for level in 1..=4usize {
         // Step 1: raise the load until the level is reported, with the levels above it unreachable.
-        let reported = |load: &&f64| steady(&t.up_to(level), **load, seconds, seed).reports(level);
+        let reported = |load: &&f64| run_steady_load(&t.up_to(level), **load, seconds, seed).reports(level);
         let load = grid.iter().find(reported).copied().unwrap_or(10.0);
         // Step 2: how far the queue depth rises above the onset and falls below the abatement threshold.
-        let result = steady(&t.up_to(level), load, seconds, seed);
+        let result = run_steady_load(&t.up_to(level), load, seconds, seed);
         let above = result.high as f64 - t.onset[level - 1];
         let below = t.abate[level - 1] - result.low as f64;
         let delta = if level == 1 { above } else { above.max(below) }.max(0.0);
@@ -193,7 +193,7 @@
     }
     let run_loads = |t: &Thresholds| {
         let loads = [0.8, 1.0, 1.1, 1.2, 1.5, 2.0, 3.0, 4.0];
-        loads.map(|load| steady(t, load, 4.0 * seconds, seed + 1)).to_vec()
+        loads.map(|load| run_steady_load(t, load, 4.0 * seconds, seed + 1)).to_vec()
     };
     let with_doubling = run_loads(&Thresholds::doubling(onset1, ABATE_SHARE));
     ProcedureResult { onset1, loads, deltas, tuned: t, with_tuned: run_loads(&t), with_doubling }
@@ -218,8 +218,8 @@
     fn wide_thresholds_hold_a_steady_load_between_neighbours() {
         let wide = Thresholds::doubling(40.0, 0.6);
         let narrow = Thresholds { onset: [2.0, 3.0, 4.0, 5.0], abate: [1.0, 2.0, 3.0, 4.0] };
-        let (w, n) = (steady(&wide, 1.5, 200.0, 3), steady(&narrow, 1.5, 200.0, 3));
-        assert!(w.two_neighbours() > 0.99, "{w:?}");
-        assert!(n.two_neighbours() < 0.9, "{n:?}");
+        let (w, n) = (run_steady_load(&wide, 1.5, 200.0, 3), run_steady_load(&narrow, 1.5, 200.0, 3));
+        assert!(w.largest_adjacent_share() > 0.99, "{w:?}");
+        assert!(n.largest_adjacent_share() < 0.9, "{n:?}");
     }
 }
--- a/crates/lab/src/study/verify.rs
+++ b/crates/lab/src/study/verify.rs
@@ -7,7 +7,7 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-use super::paper::{run_procedure, ProcedureResult, Steady};
+use super::paper::{run_procedure, ProcedureResult, SteadyResult};
 use super::stats::{t_interval, Interval};
 use super::table;
 use crate::day::Day;
@@ -388,12 +388,12 @@
         list(&result.tuned.onset),
         list(&result.tuned.abate),
     );
-    let row = |(name, s): (&str, &Steady)| {
+    let row = |(name, s): (&str, &SteadyResult)| {
         let mut row = vec![name.to_owned(), format!("{:.2}", s.offered)];
         row.extend(s.spent.iter().map(|s| format!("{:.1}%", s * 100.0)));
         row.push(s.high.to_string());
         row.push(format!("{} of {}", s.moves[0], s.moves[1]));
-        row.push(format!("{:.1}%", s.two_neighbours() * 100.0));
+        row.push(format!("{:.1}%", s.largest_adjacent_share() * 100.0));
         row
     };
     let tuned = result.with_tuned.iter().map(|s| ("step 3", s));
--- a/crates/lab/tests/study.rs
+++ b/crates/lab/tests/study.rs
@@ -20,9 +20,9 @@
 fn compared(scenario: &Scenario, names: &[&str], days: u64) -> Comparison {
     let arms: Vec<Arm> = names.iter().map(|n| built_in(n)).collect();
     let seeds: Vec<u64> = (1..=days).collect();
-    let played =
+    let results =
         run_arms(scenario, &arms, &seeds, None, &ProgressBar::hidden()).expect("shipped proxies play");
-    compare(scenario, &seeds, &arms, &played)
+    compare(scenario, &seeds, &arms, &results)
 }
 
 #[test]
