--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -13,7 +13,7 @@
 
 use crate::captures;
 use crate::day::Day;
-use crate::proxy::{Follow, Recorded, Shipped, Twin, Wire};
+use crate::proxy::{CallTrace, Capturing, ExternalProgram, Shipped, Twin};
 use crate::scenario::Scenario;
 use crate::study::stats::Verdict;
 use crate::study::sweep::{self, Axis};
@@ -282,7 +282,7 @@
                 "mallowring-lab: {arm}, seed {}: {} broken rules, so the day counts as 0; the first ones:",
                 day.seed, day.broken_rules
             );
-            for b in day.broken.iter().take(3) {
+            for b in day.violations.iter().take(3) {
                 let proxy = b.proxy.map_or(String::new(), |p| format!(" proxy {p}"));
                 let call = b.call.as_ref().map_or(String::new(), |c| format!(" call {c}"));
                 eprintln!("  at {:.3} s{proxy}{call}: {:?}: {}", b.at_s, b.rule, b.what);
@@ -358,7 +358,7 @@
             let arm = Arm::named(&candidate)?;
             let day = Day::draw(&scenario, seed);
             let calls = calls.into_iter().map(CallId).collect();
-            let mut seats = Follow::new(arm.seats()?, calls);
+            let mut seats = CallTrace::new(arm.seats()?, calls);
             let result = run(&day, &generate(&day), &mut seats, arm.salt)?;
             print_text(&seats.lines.join("\n"));
             Ok(!report_findings(&arm.name, &[result]))
@@ -398,10 +398,13 @@
         Command::Capture { scenario, seed, proxy, out } => {
             let scenario = Scenario::read(&scenario)?;
             let day = Day::draw(&scenario, seed);
-            let mut seats = Recorded::new(Tuning::default());
+            let mut seats = Capturing::new(Tuning::default());
             let result = run(&day, &generate(&day), &mut seats, 0)?;
             let Some(entries) = seats.captures.remove(&proxy) else {
-                return Err(LabError::Argument(format!("--proxy {proxy}: the day has {} proxies", day.n)));
+                return Err(LabError::Argument(format!(
+                    "--proxy {proxy}: the day has {} proxies",
+                    day.exchange_count
+                )));
             };
             let bytes = captures::write(&out, &entries)?;
             print_text(&format!("{} entries, {bytes} bytes in {}", entries.len(), out.display()));
@@ -422,7 +425,12 @@
             let day = Day::draw(&scenario, seed);
             let callers = generate(&day);
             recorded::write(&out, &day, &callers)?;
-            print_text(&format!("{} calls of {} exchanges in {}", callers.len(), day.n, out.display()));
+            print_text(&format!(
+                "{} calls of {} exchanges in {}",
+                callers.len(),
+                day.exchange_count,
+                out.display()
+            ));
             Ok(true)
         }
         Command::Check { scenarios } => {
@@ -487,7 +495,7 @@
     for seed in days.seeds() {
         let day = Day::draw(&scenario, seed);
         let callers = generate(&day);
-        let program = Wire::start("twin", program, Duration::from_secs(20))?;
+        let program = ExternalProgram::start("twin", program, Duration::from_secs(20))?;
         let mut seats = Twin::new(Shipped::new(Tuning::default()), program);
         run(&day, &callers, &mut seats, 0)?;
         decisions += seats.decisions;
--- a/crates/lab/src/proxy/mod.rs
+++ b/crates/lab/src/proxy/mod.rs
@@ -1,5 +1,5 @@
-//! Who sits in the proxies' seats: the shipped call table with the shipped module, a program that speaks the
-//! simulator's wire, both side by side, or a policy made for a test.
+//! Implementations of [`ProxyFleet`]: the shipped call table with the shipped decision module, an external program
+//! that speaks the simulator's protocol, two fleets side by side, and a simple policy for tests.
 
 mod direct;
 mod follow;
@@ -9,10 +9,10 @@
 mod wire;
 
 pub use direct::Direct;
-pub use follow::Follow;
-pub use recorded::Recorded;
+pub use follow::CallTrace;
+pub use recorded::Capturing;
 pub use shipped::Shipped;
 pub use twin::{Difference, Twin};
-pub use wire::Wire;
+pub use wire::ExternalProgram;
 
-pub use crate::world::seats::{Levels, Seats, Told};
+pub use crate::world::fleet::{EventsByProxy, OverloadLevels, ProxyFleet};
--- a/crates/lab/src/proxy/shipped.rs
+++ b/crates/lab/src/proxy/shipped.rs
@@ -1,30 +1,30 @@
-//! The shipped call table with the shipped module: the very code that serves.
+//! The shipped call table with the shipped decision module, the same code as in the signalling proxy.
 
 use mallowring::calls::tenants::{Tenant, Tenants};
 use mallowring::calls::{CallEffect, Table};
 use mallowring::interface::Time;
 use mallowring::Tuning;
 
-use super::{Levels, Seats, Told};
+use super::{EventsByProxy, OverloadLevels, ProxyFleet};
 use crate::day::Day;
 use crate::LabError;
 
-/// A fleet of shipped proxies with one set of tuned values.
+/// A fleet of shipped proxies with one tuning.
 #[derive(Debug)]
 pub struct Shipped {
     tuning: Tuning,
     tables: Vec<Option<Table>>,
-    commands: Vec<CallEffect>,
+    effects: Vec<CallEffect>,
 }
 
 impl Shipped {
-    /// Empty seats.
+    /// A fleet without running proxies.
     pub fn new(tuning: Tuning) -> Self {
-        Shipped { tuning, tables: Vec::new(), commands: Vec::new() }
+        Shipped { tuning, tables: Vec::new(), effects: Vec::new() }
     }
 }
 
-impl Seats for Shipped {
+impl ProxyFleet for Shipped {
     fn start(&mut self, day: &Day, proxy: usize, now: Time, seed: u64) -> Result<(), LabError> {
         if self.tables.len() <= proxy {
             self.tables.resize_with(proxy + 1, || None);
@@ -38,25 +38,33 @@
     }
 
     fn stop(&mut self, proxy: usize) -> Result<(), LabError> {
-        if let Some(seat) = self.tables.get_mut(proxy) {
-            *seat = None;
+        if let Some(table) = self.tables.get_mut(proxy) {
+            *table = None;
         }
         Ok(())
     }
 
-    fn tick(&mut self, now: Time, told: Told, out: &mut Vec<(usize, CallEffect)>) -> Result<(), LabError> {
-        for (proxy, inputs) in told {
+    fn tick(
+        &mut self,
+        now: Time,
+        events: EventsByProxy,
+        out: &mut Vec<(usize, CallEffect)>,
+    ) -> Result<(), LabError> {
+        for (proxy, inbox) in events {
             let Some(Some(table)) = self.tables.get_mut(proxy) else { continue };
-            for input in inputs {
-                table.handle(now, input, &mut self.commands);
+            for event in inbox {
+                table.handle(now, event, &mut self.effects);
             }
-            out.extend(self.commands.drain(..).map(|command| (proxy, command)));
+            out.extend(self.effects.drain(..).map(|effect| (proxy, effect)));
         }
         Ok(())
     }
 
-    fn levels(&self, proxy: usize) -> Option<Levels> {
+    fn levels(&self, proxy: usize) -> Option<OverloadLevels> {
         let (own, far) = self.tables.get(proxy)?.as_ref()?.levels();
-        Some(Levels { own, far: far.into_iter().map(|(number, level)| (number.0 as usize, level)).collect() })
+        Some(OverloadLevels {
+            own,
+            far: far.into_iter().map(|(number, level)| (number.0 as usize, level)).collect(),
+        })
     }
 }
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, Exp1};
 use serde::Serialize;
 
-use crate::day::Works;
+use crate::day::ProcessorParameters;
 use crate::day::{Us, SECOND};
 use crate::random::{stream, Purpose};
 use crate::scenario::WorkTime;
@@ -84,20 +84,20 @@
 }
 
 /// A processor whose set-ups take 20 ms on average.
-fn processor_settings() -> Works {
-    Works {
+fn processor_settings() -> ProcessorParameters {
+    ProcessorParameters {
         set_up_us: 20_000.0,
-        look: 0.0,
+        inspect: 0.0,
         refuse: 0.2,
-        follow: 0.0,
+        answer_or_release: 0.0,
         longest_wait_us: f64::INFINITY,
         finish_first: false,
         cancel_drops: false,
         work: WorkTime::Exponential,
         cold_from: 1.0,
         cold_us: 1.0,
-        fall_us: SECOND,
-        fall_multiple: 1e9,
+        cold_failure_window_us: SECOND,
+        cold_failure_multiple: 1e9,
     }
 }
 
@@ -106,7 +106,7 @@
     let works = processor_settings();
     let mut processor = Processor::new(ExchangeId(1), works, None);
     let mut arrivals = stream(seed, Purpose::Arrivals, 0);
-    let mut work = stream(seed, Purpose::Work, 0);
+    let mut work = stream(seed, Purpose::ProcessorWork, 0);
     let gap = works.set_up_us / offered;
     let (end, settled) = ((seconds * SECOND as f64) as Us, SECOND * 10);
     let (mut next, mut sample, mut completion) = (0.0, SAMPLE_PERIOD_US, None::<(Us, u64)>);
@@ -136,7 +136,8 @@
             refusal_credit += REFUSED_SHARE[level];
             let refuse = refusal_credit >= 1.0;
             refusal_credit -= if refuse { 1.0 } else { 0.0 };
-            let (task, size) = if refuse { (Task::Refuse, works.refuse) } else { (Task::SetUpFar(0), 1.0) };
+            let (task, size) =
+                if refuse { (Task::Refuse, works.refuse) } else { (Task::ReceiveSetUp(0), 1.0) };
             completion = processor.push(at, task, size, &mut work).or(completion);
             next += gap * Distribution::<f64>::sample(&Exp1, &mut arrivals);
         }
--- a/src/admin/http.rs
+++ b/src/admin/http.rs
@@ -11,7 +11,7 @@
 
 use super::{StoreError, TenantStore};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
-use crate::net::{or_late, Tasks};
+use crate::net::{with_timeout, Executor};
 
 /// The longest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
@@ -297,7 +297,7 @@
 }
 
 /// Accepts connections and serves the API on them until the program ends.
-pub async fn run(tasks: Tasks, listener: TcpListener, store: Rc<TenantStore>, tokens: Vec<Token>) {
+pub async fn run(tasks: Executor, listener: TcpListener, store: Rc<TenantStore>, tokens: Vec<Token>) {
     let tokens: Rc<[Token]> = tokens.into();
     let connection_count = Rc::new(());
     loop {
@@ -339,7 +339,7 @@
                 (response, request.close)
             }
             Ok(None) => {
-                let n = or_late(IDLE_TIMEOUT, stream.read(&mut chunk)).await?;
+                let n = with_timeout(IDLE_TIMEOUT, stream.read(&mut chunk)).await?;
                 if n == 0 {
                     return Ok(());
                 }
@@ -349,7 +349,7 @@
             // The end of a malformed request is unknown, so the connection closes.
             Err(response) => (response, true),
         };
-        or_late(IDLE_TIMEOUT, stream.write_all(&encode_response(&response, close))).await?;
+        with_timeout(IDLE_TIMEOUT, stream.write_all(&encode_response(&response, close))).await?;
         if close {
             return Ok(());
         }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -1,7 +1,8 @@
-//! One TCP connection that carries SIP messages: a reader, a writer with a bounded outbox, and its handle.
+//! A TCP connection that carries SIP messages: a reader, a writer with a bounded send queue, and the owner's handle.
 //!
-//! An outbox costs what it holds. All outboxes together hold no more than their part of the memory
-//! ([`crate::limits::memory`]): beyond it the connection that is furthest behind is cut.
+//! A send queue uses memory only for the bytes it holds. All send queues share one memory budget
+//! ([`crate::limits::memory`]). When it is exceeded, the connection with the longest queue is closed; one that never
+//! carried a call is closed first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,266 +17,283 @@
 use smol::net::TcpStream;
 use smol::{future, Async};
 
-use super::{or_late, post_when_calm, Tasks};
+use super::{post_throttled, with_timeout, Executor};
 use crate::limits::memory::{connection_to_cut, OutboundQueue};
 use crate::sip::message::{Framer, FramingError, MalformedMessage, Message};
 use crate::telemetry;
 
-/// Bytes that may wait for a slow reader before its connection is given up.
-const QUEUED: usize = 64 * 1024;
-/// A reader that takes nothing at all for this long is given up.
-const WRITE_LIMIT: Duration = Duration::from_secs(5);
-/// The most bytes read at a time.
-const READ_AT_ONCE: usize = 4096;
+/// Length of a send queue, in bytes, beyond which a connection is closed because its peer reads too slowly.
+const MAX_QUEUED_BYTES: usize = 64 * 1024;
+/// Time limit of one write. A connection whose peer reads too little for so long is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes read per system call.
+const READ_CHUNK_BYTES: usize = 4096;
 
-/// What a connection brings to its owner.
+/// What a connection reports to its owner.
 #[derive(Debug)]
-pub enum Heard {
-    /// A message, or what stood in its place.
+pub enum ConnectionEvent {
+    /// A message was received, or one that could not be parsed.
     Message(Result<Message, MalformedMessage>),
-    /// It is over; nothing follows.
-    Over(Over),
+    /// The connection has ended; this is its last event.
+    Ended(CloseReason),
 }
 
-/// How a connection ended.
+/// Why a connection ended.
 #[derive(Debug)]
-pub enum Over {
-    /// The other side closed it.
+pub enum CloseReason {
+    /// The peer closed it in order.
     Closed,
-    /// It broke.
+    /// An I/O error, such as a reset.
     Broken(io::Error),
-    /// The bounds of messages were lost.
+    /// The end of a message in the byte stream could not be determined.
     Framing(FramingError),
-    /// A message began and its rest did not come.
+    /// A message was not complete within the message timeout.
     CutShort,
 }
 
-/// What waits to be written on one connection.
+/// The bytes waiting to be written to one connection.
 #[derive(Debug)]
-struct Outbox {
+struct SendQueue {
     stream: TcpStream,
-    waiting: RefCell<Vec<u8>>,
-    /// Bytes that wait, with those in the hands of the writer.
-    size: Cell<usize>,
-    /// It has brought a call, or leads to an exchange.
-    proven: Cell<bool>,
-    /// Only the way out is closed: what the other side has written is still read.
-    finishing: Cell<bool>,
-    /// It was cut, and counts no longer.
-    cut: Cell<bool>,
+    pending: RefCell<Vec<u8>>,
+    /// Length of `pending` plus the bytes that the writer is sending.
+    queued_bytes: Cell<usize>,
+    /// The peer has set up a call, or is an exchange.
+    carries_calls: Cell<bool>,
+    /// Only the write half is to be closed; the read half stays open.
+    half_closing: Cell<bool>,
+    /// The connection was aborted, and its bytes no longer count.
+    aborted: Cell<bool>,
 }
 
-/// All outboxes of the proxy, and the bytes that they may hold together.
+/// All send queues of the proxy, with the memory budget they share.
 #[derive(Debug)]
-pub struct Outboxes {
+pub struct SendQueues {
     limit: usize,
     total: Cell<usize>,
-    next: Cell<u64>,
-    all: RefCell<BTreeMap<u64, Weak<Outbox>>>,
+    next_number: Cell<u64>,
+    all: RefCell<BTreeMap<u64, Weak<SendQueue>>>,
 }
 
-impl Outboxes {
-    /// None yet, with so many bytes for all.
-    pub fn new(limit: usize) -> Rc<Outboxes> {
-        Rc::new(Outboxes { limit, total: Cell::new(0), next: Cell::new(0), all: RefCell::default() })
+impl SendQueues {
+    /// Creates an empty set with a budget of `limit` bytes.
+    pub fn new(limit: usize) -> Rc<SendQueues> {
+        Rc::new(SendQueues { limit, total: Cell::new(0), next_number: Cell::new(0), all: RefCell::default() })
     }
 
-    /// Bytes that wait on all connections.
-    pub fn queued(&self) -> usize {
+    /// Bytes queued on all connections.
+    pub fn total_bytes(&self) -> usize {
         self.total.get()
     }
 
-    fn add(&self, outbox: &Rc<Outbox>) -> u64 {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        self.all.borrow_mut().insert(number, Rc::downgrade(outbox));
+    fn register(&self, send_queue: &Rc<SendQueue>) -> u64 {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        self.all.borrow_mut().insert(number, Rc::downgrade(send_queue));
         number
     }
 
-    fn count(&self, outbox: &Outbox, added: usize, written: usize) {
-        if outbox.cut.get() {
+    /// Adds queued bytes and subtracts written ones, for one queue and in total.
+    fn adjust(&self, send_queue: &SendQueue, added: usize, written: usize) {
+        if send_queue.aborted.get() {
             return;
         }
-        outbox.size.set((outbox.size.get() + added).saturating_sub(written));
+        send_queue.queued_bytes.set((send_queue.queued_bytes.get() + added).saturating_sub(written));
         self.total.set((self.total.get() + added).saturating_sub(written));
     }
 
-    /// Cuts whoever is furthest behind until what waits fits again.
-    fn make_room(&self) {
+    /// Aborts connections, in the order given by [`connection_to_cut`], until the queued bytes fit the budget.
+    fn enforce_limit(&self) {
         while self.total.get() > self.limit {
             let all = self.all.borrow();
-            let queue = |(number, outbox): (&u64, &Weak<Outbox>)| {
-                let outbox = outbox.upgrade()?;
+            let queue = |(number, send_queue): (&u64, &Weak<SendQueue>)| {
+                let send_queue = send_queue.upgrade()?;
                 Some(OutboundQueue {
                     connection: *number,
-                    bytes: outbox.size.get(),
-                    proven: outbox.proven.get(),
+                    bytes: send_queue.queued_bytes.get(),
+                    proven: send_queue.carries_calls.get(),
                 })
             };
             let Some(number) = connection_to_cut(all.iter().filter_map(queue)) else { return };
-            let Some(outbox) = all.get(&number).and_then(Weak::upgrade) else { return };
+            let Some(send_queue) = all.get(&number).and_then(Weak::upgrade) else { return };
             telemetry::queue_limit_exceeded("all queues");
-            self.cut(&outbox, "all queues together hold too much");
+            self.abort(&send_queue, "the send queues exceed their memory budget");
         }
     }
 
-    /// Ends a connection and frees what waits on it.
-    fn cut(&self, outbox: &Outbox, reason: &'static str) {
-        let peer = outbox.stream.peer_addr().ok();
-        tracing::warn!(?peer, reason, bytes = outbox.size.get(), "slow reader: connection closed");
-        let _ = outbox.stream.shutdown(Shutdown::Both);
-        outbox.waiting.borrow_mut().clear();
-        // With what the writer holds.
-        self.count(outbox, 0, outbox.size.get());
-        outbox.cut.set(true);
+    /// Closes a connection and drops its queued bytes.
+    fn abort(&self, send_queue: &SendQueue, reason: &'static str) {
+        let peer = send_queue.stream.peer_addr().ok();
+        tracing::warn!(
+            ?peer,
+            reason,
+            bytes = send_queue.queued_bytes.get(),
+            "peer reads too slowly: connection closed"
+        );
+        let _ = send_queue.stream.shutdown(Shutdown::Both);
+        send_queue.pending.borrow_mut().clear();
+        // Includes the bytes that the writer is still sending.
+        self.adjust(send_queue, 0, send_queue.queued_bytes.get());
+        send_queue.aborted.set(true);
     }
 }
 
-/// The owner's end of a connection. Dropping it lets what waits go out, then closes.
+/// The owner's handle of a connection. When it is dropped, queued messages are still sent, then the connection
+/// closes.
 #[derive(Debug)]
-pub struct Conn {
-    outboxes: Rc<Outboxes>,
-    outbox: Rc<Outbox>,
+pub struct ConnectionHandle {
+    send_queues: Rc<SendQueues>,
+    send_queue: Rc<SendQueue>,
     number: u64,
-    /// Wakes the writer; closed, the writer ends.
+    /// Wakes the writer. Closing this channel ends the writer once its queue is empty.
     wake: Sender<()>,
 }
 
-impl Drop for Conn {
+impl Drop for ConnectionHandle {
     fn drop(&mut self) {
-        self.outboxes.all.borrow_mut().remove(&self.number);
-        if self.outbox.finishing.get() {
-            let _ = self.outbox.stream.shutdown(Shutdown::Both);
+        self.send_queues.all.borrow_mut().remove(&self.number);
+        if self.send_queue.half_closing.get() {
+            let _ = self.send_queue.stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-impl Conn {
-    /// Starts to read and write. Whatever is read goes to the mailbox under the number given. A message has to be
-    /// whole within a time from its first byte.
+impl ConnectionHandle {
+    /// Starts the reader and the writer of a connected stream. Events are wrapped with `wrap` and sent to `mailbox`.
+    /// Each message has to be complete within `message_timeout` from its first byte.
     pub fn open<M: 'static>(
-        tasks: &Tasks,
-        outboxes: &Rc<Outboxes>,
+        tasks: &Executor,
+        send_queues: &Rc<SendQueues>,
         stream: TcpStream,
         mailbox: Sender<M>,
-        whole_within: Duration,
-        wrap: impl Fn(Heard) -> M + 'static,
-    ) -> Conn {
-        // Small messages at once; where the option fails they only come later.
+        message_timeout: Duration,
+        wrap: impl Fn(ConnectionEvent) -> M + 'static,
+    ) -> ConnectionHandle {
+        // Sends small messages without delay. If the option can't be set, they are only delayed.
         let _ = stream.set_nodelay(true);
-        let outbox = Rc::new(Outbox {
+        let send_queue = Rc::new(SendQueue {
             stream: stream.clone(),
-            waiting: RefCell::default(),
-            size: Cell::new(0),
-            proven: Cell::new(false),
-            finishing: Cell::new(false),
-            cut: Cell::new(false),
+            pending: RefCell::default(),
+            queued_bytes: Cell::new(0),
+            carries_calls: Cell::new(false),
+            half_closing: Cell::new(false),
+            aborted: Cell::new(false),
         });
-        let number = outboxes.add(&outbox);
-        let (wake, woken) = bounded(1);
-        tasks.spawn(write(outboxes.clone(), outbox.clone(), woken)).detach();
-        tasks.spawn(async move { read(stream, mailbox, whole_within, wrap).await }).detach();
-        Conn { outboxes: outboxes.clone(), outbox, number, wake }
+        let number = send_queues.register(&send_queue);
+        let (wake, wake_ups) = bounded(1);
+        tasks.spawn(write(send_queues.clone(), send_queue.clone(), wake_ups)).detach();
+        tasks.spawn(async move { read(stream, mailbox, message_timeout, wrap).await }).detach();
+        ConnectionHandle { send_queues: send_queues.clone(), send_queue, number, wake }
     }
 
-    /// It has brought a call, or leads to an exchange: others are cut before it.
-    pub fn prove(&self) {
-        self.outbox.proven.set(true);
+    /// Marks the connection as one that carries calls: others are closed first when the send queues grow too long.
+    pub fn mark_carries_calls(&self) {
+        self.send_queue.carries_calls.set(true);
     }
 
-    /// Lets what waits go out and closes the way out; what the other side still writes is heard until it closes too or
-    /// this is dropped.
-    pub fn finish(&self) {
-        self.outbox.finishing.set(true);
+    /// Closes the write half after the queued messages. Messages from the peer are still received until the peer
+    /// closes its half or this handle is dropped.
+    pub fn close_write(&self) {
+        self.send_queue.half_closing.set(true);
         self.wake.close();
     }
 
-    /// Queues a message. A reader too slow to keep up loses its connection, so that nobody waits for it.
+    /// Queues a message without waiting; returns false if the connection is closing. A connection whose queue is too
+    /// long is closed, so that one slow peer delays no other.
     pub fn write(&self, message: &Message) -> bool {
-        if self.wake.is_closed() || self.outbox.cut.get() {
+        if self.wake.is_closed() || self.send_queue.aborted.get() {
             return false;
         }
-        if self.outbox.size.get() > QUEUED {
+        if self.send_queue.queued_bytes.get() > MAX_QUEUED_BYTES {
             telemetry::queue_limit_exceeded("one queue");
-            self.outboxes.cut(&self.outbox, "its reader is too slow");
+            self.send_queues.abort(&self.send_queue, "its send queue is too long");
             return false;
         }
         let bytes = message.to_bytes();
-        self.outboxes.count(&self.outbox, bytes.len(), 0);
-        self.outbox.waiting.borrow_mut().extend_from_slice(&bytes);
-        // One that waits already wakes the writer for this as well.
+        self.send_queues.adjust(&self.send_queue, bytes.len(), 0);
+        self.send_queue.pending.borrow_mut().extend_from_slice(&bytes);
+        // If a wake-up is already queued, it covers this message as well.
         let _ = self.wake.try_send(());
-        self.outboxes.make_room();
+        self.send_queues.enforce_limit();
         true
     }
 }
 
-async fn write(outboxes: Rc<Outboxes>, outbox: Rc<Outbox>, woken: Receiver<()>) {
-    let mut stream = outbox.stream.clone();
+/// The writer: sends what is queued until the handle is dropped or a write fails.
+async fn write(send_queues: Rc<SendQueues>, send_queue: Rc<SendQueue>, wake_ups: Receiver<()>) {
+    let mut stream = send_queue.stream.clone();
     loop {
-        let bytes = std::mem::take(&mut *outbox.waiting.borrow_mut());
+        let bytes = std::mem::take(&mut *send_queue.pending.borrow_mut());
         if bytes.is_empty() {
-            if woken.recv().await.is_err() && outbox.waiting.borrow().is_empty() {
+            if wake_ups.recv().await.is_err() && send_queue.pending.borrow().is_empty() {
                 break;
             }
             continue;
         }
-        let written = or_late(WRITE_LIMIT, stream.write_all(&bytes)).await;
-        outboxes.count(&outbox, 0, bytes.len());
+        let written = with_timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await;
+        send_queues.adjust(&send_queue, 0, bytes.len());
         if written.is_err() {
-            let waiting = std::mem::take(&mut *outbox.waiting.borrow_mut()).len();
-            outboxes.count(&outbox, 0, waiting);
-            // Whatever else is queued has nowhere to go.
-            woken.close();
+            let pending = std::mem::take(&mut *send_queue.pending.borrow_mut()).len();
+            send_queues.adjust(&send_queue, 0, pending);
+            // The connection has failed: later writes are refused.
+            wake_ups.close();
             break;
         }
     }
-    let _ = stream.shutdown(if outbox.finishing.get() { Shutdown::Write } else { Shutdown::Both });
+    let _ = stream.shutdown(if send_queue.half_closing.get() { Shutdown::Write } else { Shutdown::Both });
 }
 
-/// Reads what is there; between reads a connection holds no buffer.
+/// Reads the available bytes. The buffer is on the stack, so that an idle connection holds none.
 fn read_some(mut stream: &std::net::TcpStream, framer: &mut Framer) -> io::Result<usize> {
-    let mut bytes = [0; READ_AT_ONCE];
+    let mut bytes = [0; READ_CHUNK_BYTES];
     let n = stream.read(&mut bytes)?;
     framer.push(&bytes[..n]);
     Ok(n)
 }
 
-async fn read<M>(stream: TcpStream, mailbox: Sender<M>, whole_within: Duration, wrap: impl Fn(Heard) -> M) {
+/// The reader: frames the byte stream and sends each message to the owner's mailbox.
+async fn read<M>(
+    stream: TcpStream,
+    mailbox: Sender<M>,
+    message_timeout: Duration,
+    wrap: impl Fn(ConnectionEvent) -> M,
+) {
     let stream: Arc<Async<std::net::TcpStream>> = stream.into();
     let mut framer = Framer::default();
-    let mut since = None;
-    let over = 'reading: loop {
+    let mut message_started = None;
+    let close_reason = 'reading: loop {
         let reading = stream.read_with(|socket| read_some(socket, &mut framer));
-        let got = match since {
+        let received = match message_started {
             None => reading.await,
-            Some(since) => {
-                let left = whole_within.saturating_sub(Instant::elapsed(&since));
-                or_late(left, reading).await
+            Some(message_started) => {
+                let remaining = message_timeout.saturating_sub(Instant::elapsed(&message_started));
+                with_timeout(remaining, reading).await
             }
         };
-        match got {
-            Ok(0) => break Over::Closed,
+        match received {
+            Ok(0) => break CloseReason::Closed,
             Ok(_) => {}
-            Err(error) if since.is_some() && error.kind() == io::ErrorKind::TimedOut => break Over::CutShort,
-            Err(error) => break Over::Broken(error),
+            Err(error) if message_started.is_some() && error.kind() == io::ErrorKind::TimedOut => {
+                break CloseReason::CutShort
+            }
+            Err(error) => break CloseReason::Broken(error),
         }
         loop {
             match framer.next_message() {
                 Ok(Some(message)) => {
-                    since = None;
-                    if !post_when_calm(&mailbox, wrap(Heard::Message(message))).await {
+                    message_started = None;
+                    if !post_throttled(&mailbox, wrap(ConnectionEvent::Message(message))).await {
                         return;
                     }
-                    // Whoever sends much at a time takes turns with all others.
+                    // Lets other actors run when a peer sends many messages at once.
                     future::yield_now().await;
                 }
                 Ok(None) => break,
-                Err(lost) => break 'reading Over::Framing(lost),
+                Err(error) => break 'reading CloseReason::Framing(error),
             }
         }
         framer.free_empty_buffer();
-        since = framer.has_partial_message().then(|| since.unwrap_or_else(Instant::now));
+        message_started = framer.has_partial_message().then(|| message_started.unwrap_or_else(Instant::now));
     };
-    let _ = mailbox.send(wrap(Heard::Over(over))).await;
+    let _ = mailbox.send(wrap(ConnectionEvent::Ended(close_reason))).await;
 }
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -1,4 +1,4 @@
-//! The actor of the module: holds the call table, hears all other actors and sends its commands out.
+//! The engine actor: owns the call table, feeds it the events of all other actors and carries out its effects.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,143 +6,143 @@
 use smol::channel::{Receiver, Sender};
 use smol::Timer;
 
-use super::bulletin::Listed;
-use super::clock::{Alarms, Clock, Due};
-use super::peer::{self, PeerMail, Shared};
-use super::platform::FrontMail;
-use super::sip::SipMail;
-use super::{post, Tasks};
+use super::clock::{Clock, TimerKind, TimerSender};
+use super::peer::{self, PeerActorMessage, PeerContext};
+use super::platform::PlatformMessage;
+use super::roster::ListedExchange;
+use super::sip::SipFrontMessage;
+use super::{post, Executor};
 use crate::calls::tenants::{Change, ChangeError, Counts, Tenant};
 use crate::calls::{CallEffect, CallEvent, ExchangeCommand, Front, Table};
 use crate::interface::*;
 use crate::recovery::shutdown::Shutdown;
 use crate::telemetry;
 
-/// A test passes after this time even if a state is still missing.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// After SIGTERM requests keep coming for a while, on the SIP front too.
-const LINGER: Secs = 1.0;
-/// Between two summaries of the counters in the log.
-const SUMMARY: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(50);
+/// The proxy reports itself ready after this time even if the state of some trunk group has not arrived.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
+/// Shortest time in seconds from SIGTERM to the end: requests still arrive during it, on the SIP front too.
+const MIN_DRAIN_TIME: Secs = 1.0;
+/// Interval between two summaries of the counters in the log.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval of the checks whether a shutdown is complete.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the actor is told.
+/// Messages to the engine actor.
 #[derive(Debug)]
-pub enum EngineMail {
-    /// Something for the core.
+pub enum EngineMessage {
+    /// An event for the call table.
     Input(CallEvent),
-    /// News of the exchanges.
-    List {
-        /// The whole list, or changes.
-        whole: bool,
-        /// Its lines.
-        listed: Vec<Listed>,
+    /// An update of the roster.
+    Roster {
+        /// The entries are the whole roster; otherwise they are changes.
+        full: bool,
+        /// The roster entries with their addresses.
+        listed: Vec<ListedExchange>,
     },
-    /// The administration looks at the tenants.
-    Tenants(Sender<Vec<(Tenant, Counts)>>),
-    /// The administration changes them.
-    Change(Vec<Change>, Sender<Result<(), ChangeError>>),
-    /// States have been waited for long enough.
-    Patience,
-    /// The program is to end once no call is left.
+    /// The administration reads the tenants.
+    ListTenants(Sender<Vec<(Tenant, Counts)>>),
+    /// The administration changes tenants.
+    ChangeTenants(Vec<Change>, Sender<Result<(), ChangeError>>),
+    /// The wait for the states of the trunk groups is over.
+    ReadinessTimeout,
+    /// Shut down: end once no call is left.
     Drain,
-    /// A look at whether any is.
-    Look,
-    /// After [`EngineMail::Drain`]: the platform's front has no connection left and accepts none.
-    CallersLeft,
-    /// Time to log the counters.
-    Summary,
+    /// Check whether the shutdown is complete.
+    CheckDrained,
+    /// After [`EngineMessage::Drain`]: the platform front has no connection left and accepts no more.
+    CallersDisconnected,
+    /// Log the counters.
+    LogSummary,
 }
 
-/// The actor's state.
+/// State of the engine actor.
 pub struct Engine {
     /// The call table.
     pub table: Table,
-    /// Its clock.
+    /// The clock.
     pub clock: Clock,
-    /// Where new actors start.
-    pub tasks: Tasks,
-    /// The own exchange.
-    pub own: Option<ExchangeNumber>,
-    /// No caller waits longer than this.
+    /// Executor of new actors.
+    pub tasks: Executor,
+    /// The number of the own exchange.
+    pub own_exchange: Option<ExchangeNumber>,
+    /// The longest time in seconds that a caller of any class waits.
     pub longest_deadline: Secs,
-    /// What the actors of exchanges need.
-    pub peers: Shared,
-    /// The own mailbox.
-    pub mailbox: Sender<EngineMail>,
-    /// The clock's actor.
-    pub alarms: Alarms,
-    /// The platform's front, unless it is off.
-    pub platform: Option<Sender<FrontMail>>,
-    /// The SIP front, unless it is off.
-    pub sip: Option<Sender<SipMail>>,
-    /// The exchanges that speak SIP: they are on no list and always on.
-    pub sip_offices: Vec<RosterEntry>,
+    /// Shared by the actors of all exchanges.
+    pub peer_context: PeerContext,
+    /// Mailbox of this actor.
+    pub mailbox: Sender<EngineMessage>,
+    /// Mailbox of the clock actor.
+    pub timers: TimerSender,
+    /// Mailbox of the platform front, if it is configured.
+    pub platform: Option<Sender<PlatformMessage>>,
+    /// Mailbox of the SIP front, if it is configured.
+    pub sip: Option<Sender<SipFrontMessage>>,
+    /// The exchanges reached over SIP. The roster does not list them, and they are always in service.
+    pub sip_exchanges: Vec<RosterEntry>,
 }
 
 impl Engine {
-    /// Runs until the program has drained.
-    pub async fn run(mut self, mail: Receiver<EngineMail>) {
-        let mut peers: BTreeMap<ExchangeId, Sender<PeerMail>> = BTreeMap::new();
-        let mut commands = Vec::new();
-        let (mut ready, mut patient) = (false, true);
-        let mut drain_at: Option<Time> = None;
+    /// Runs until a shutdown is requested and all calls have drained.
+    pub async fn run(mut self, messages: Receiver<EngineMessage>) {
+        let mut peers: BTreeMap<ExchangeId, Sender<PeerActorMessage>> = BTreeMap::new();
+        let mut effects = Vec::new();
+        let (mut ready, mut awaiting_status) = (false, true);
+        let mut drain_started: Option<Time> = None;
         let mut shutdown: Option<Shutdown> = None;
-        let mut callers_left = self.platform.is_none();
-        self.later(PATIENCE, || EngineMail::Patience);
-        self.later(SUMMARY, || EngineMail::Summary);
-        while let Ok(mail) = mail.recv().await {
+        let mut callers_disconnected = self.platform.is_none();
+        self.post_later(READINESS_TIMEOUT, || EngineMessage::ReadinessTimeout);
+        self.post_later(SUMMARY_INTERVAL, || EngineMessage::LogSummary);
+        while let Ok(message) = messages.recv().await {
             let now = self.clock.now();
-            tracing::trace!(?mail);
-            match mail {
-                EngineMail::Input(input) => self.table.handle(now, input, &mut commands),
-                EngineMail::List { whole, listed } => {
-                    tracing::info!(whole, lines = listed.len(), "list");
-                    let gone = self.follow(whole, &listed, &mut peers);
-                    let mut offices: Vec<_> = listed.into_iter().map(|l| l.office).collect();
-                    if whole {
-                        offices.extend(self.sip_offices.iter().cloned());
+            tracing::trace!(mail = ?message);
+            match message {
+                EngineMessage::Input(input) => self.table.handle(now, input, &mut effects),
+                EngineMessage::Roster { full, listed } => {
+                    tracing::info!(whole = full, lines = listed.len(), "list");
+                    let removed = self.apply_roster(full, &listed, &mut peers);
+                    let mut entries: Vec<_> =
+                        listed.into_iter().map(|listed_exchange| listed_exchange.entry).collect();
+                    if full {
+                        entries.extend(self.sip_exchanges.iter().cloned());
                     }
-                    self.table.handle(
-                        now,
-                        CallEvent::Roster { full: whole, entries: offices },
-                        &mut commands,
-                    );
-                    self.carry_out(&mut commands, &peers).await;
-                    for office in gone {
-                        if let Some(peer) = peers.remove(&office) {
-                            self.inform(&peer, PeerMail::Condition(ServiceState::Removed));
+                    self.table.handle(now, CallEvent::Roster { full, entries }, &mut effects);
+                    self.apply_effects(&mut effects, &peers).await;
+                    for exchange_id in removed {
+                        if let Some(peer) = peers.remove(&exchange_id) {
+                            self.send_to_peer(&peer, PeerActorMessage::StateChanged(ServiceState::Removed));
                         }
                     }
                 }
-                EngineMail::Tenants(reply) => {
-                    // Whoever asked may have left.
+                EngineMessage::ListTenants(reply) => {
+                    // The requester may have disconnected.
                     let _ = reply.try_send(self.table.tenants().list());
                 }
-                EngineMail::Change(changes, reply) => {
+                EngineMessage::ChangeTenants(changes, reply) => {
                     tracing::info!(?changes, "tenants changed");
                     let _ = reply.try_send(self.table.tenants_mut().apply(&changes));
                 }
-                EngineMail::Patience => patient = false,
-                EngineMail::Drain => {
+                EngineMessage::ReadinessTimeout => awaiting_status = false,
+                EngineMessage::Drain => {
                     tracing::info!(
                         open = self.table.waiting_count(),
                         standing = self.table.established_count(),
                         "draining"
                     );
-                    drain_at = drain_at.or(Some(now));
-                    let begun = *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
+                    drain_started = drain_started.or(Some(now));
+                    let active_shutdown =
+                        *shutdown.get_or_insert(Shutdown::begin(now, self.longest_deadline));
                     if let Some(platform) = self.platform.clone() {
-                        // This actor waits for no other.
-                        let told = async move { post(&platform, FrontMail::Drain(begun)).await };
-                        self.tasks.spawn(told).detach();
+                        // Sent from a task of its own, as this actor never waits for another one.
+                        let send_drain =
+                            async move { post(&platform, PlatformMessage::Drain(active_shutdown)).await };
+                        self.tasks.spawn(send_drain).detach();
                     }
-                    self.later(LOOK, || EngineMail::Look);
+                    self.post_later(DRAIN_CHECK_INTERVAL, || EngineMessage::CheckDrained);
                 }
-                EngineMail::Look => {
-                    let waited = drain_at.is_some_and(|at| now - at >= LINGER);
-                    if waited
-                        && callers_left
+                EngineMessage::CheckDrained => {
+                    let lingered = drain_started.is_some_and(|at| now - at >= MIN_DRAIN_TIME);
+                    if lingered
+                        && callers_disconnected
                         && self.table.waiting_count() + self.table.established_count() == 0
                     {
                         tracing::info!(counters = telemetry::summary(), "drained");
@@ -152,127 +152,134 @@
                         self.table.stop_admitting();
                     }
                     if shutdown.is_some_and(|s| s.must_refuse_open(now)) {
-                        self.table.refuse_waiting(&mut commands);
+                        self.table.refuse_waiting(&mut effects);
                     }
-                    self.later(LOOK, || EngineMail::Look);
+                    self.post_later(DRAIN_CHECK_INTERVAL, || EngineMessage::CheckDrained);
                 }
-                EngineMail::CallersLeft => callers_left = true,
-                EngineMail::Summary => {
+                EngineMessage::CallersDisconnected => callers_disconnected = true,
+                EngineMessage::LogSummary => {
                     telemetry::set_call_record_bytes(self.table.bytes_in_use());
                     tracing::info!(counters = telemetry::summary(), "counters since the start");
-                    self.later(SUMMARY, || EngineMail::Summary);
+                    self.post_later(SUMMARY_INTERVAL, || EngineMessage::LogSummary);
                 }
             }
-            self.carry_out(&mut commands, &peers).await;
-            if !ready && (self.table.informed() || !patient) {
+            self.apply_effects(&mut effects, &peers).await;
+            if !ready && (self.table.informed() || !awaiting_status) {
                 ready = true;
                 tracing::info!(informed = self.table.informed(), "ready");
                 if let Some(platform) = &self.platform {
-                    let _ = platform.try_send(FrontMail::Ready);
+                    let _ = platform.try_send(PlatformMessage::Ready);
                 }
             }
         }
     }
 
-    fn later(&self, after: Duration, mail: fn() -> EngineMail) {
+    fn post_later(&self, after: Duration, message: fn() -> EngineMessage) {
         let mailbox = self.mailbox.clone();
         let wait = async move {
             Timer::after(after).await;
-            post(&mailbox, mail()).await;
+            post(&mailbox, message()).await;
         };
         self.tasks.spawn(wait).detach();
     }
 
-    /// Tells an exchange's actor of news.
-    fn inform(&self, peer: &Sender<PeerMail>, news: PeerMail) {
-        // Its mailbox has no bound, and it ends by such news alone.
-        let _ = peer.try_send(news);
+    /// Sends a message to the actor of an exchange.
+    fn send_to_peer(&self, peer: &Sender<PeerActorMessage>, message: PeerActorMessage) {
+        // The mailbox is unbounded, and the actor ends only when it is told that its exchange was removed.
+        let _ = peer.try_send(message);
     }
 
-    /// Starts an actor for every new exchange and tells the others; returns those that are gone.
-    fn follow(
+    /// Starts an actor for each new exchange and updates the others. Returns the removed exchanges.
+    fn apply_roster(
         &self,
-        whole: bool,
-        listed: &[Listed],
-        peers: &mut BTreeMap<ExchangeId, Sender<PeerMail>>,
+        full: bool,
+        listed: &[ListedExchange],
+        peers: &mut BTreeMap<ExchangeId, Sender<PeerActorMessage>>,
     ) -> Vec<ExchangeId> {
-        let mut gone = Vec::new();
-        for Listed { office, addr } in listed {
-            let id = office.id;
-            match office.state {
-                ServiceState::Removed => gone.push(id),
-                condition if self.own != Some(office.number) => {
-                    let start = || peer::start(self.peers.clone(), id, *addr);
+        let mut removed = Vec::new();
+        for ListedExchange { entry, addr } in listed {
+            let id = entry.id;
+            match entry.state {
+                ServiceState::Removed => removed.push(id),
+                state if self.own_exchange != Some(entry.number) => {
+                    let start = || peer::start(self.peer_context.clone(), id, *addr);
                     let peer = peers.entry(id).or_insert_with(start);
-                    self.inform(peer, PeerMail::Condition(condition));
-                    if let Some(at) = office.ready_at {
-                        self.inform(peer, PeerMail::Started(at));
+                    self.send_to_peer(peer, PeerActorMessage::StateChanged(state));
+                    if let Some(at) = entry.ready_at {
+                        self.send_to_peer(peer, PeerActorMessage::StartedAt(at));
                     }
                 }
                 _ => {}
             }
         }
-        if whole {
-            gone.extend(peers.keys().filter(|id| !listed.iter().any(|l| l.office.id == **id)));
+        if full {
+            removed.extend(
+                peers
+                    .keys()
+                    .filter(|id| !listed.iter().any(|listed_exchange| listed_exchange.entry.id == **id)),
+            );
         }
-        gone
+        removed
     }
 
-    async fn carry_out(
+    /// Carries out the effects that the call table asked for.
+    async fn apply_effects(
         &mut self,
-        commands: &mut Vec<CallEffect>,
-        peers: &BTreeMap<ExchangeId, Sender<PeerMail>>,
+        effects: &mut Vec<CallEffect>,
+        peers: &BTreeMap<ExchangeId, Sender<PeerActorMessage>>,
     ) {
-        // A command that can't be delivered may bring more.
-        while !commands.is_empty() {
-            for command in std::mem::take(commands) {
-                tracing::trace!(?command);
-                match command {
-                    CallEffect::Caller(front, id, near) => {
-                        let told = match front {
+        // A set-up that can't be delivered makes the call table produce more effects.
+        while !effects.is_empty() {
+            for effect in std::mem::take(effects) {
+                tracing::trace!(command = ?effect);
+                match effect {
+                    CallEffect::Caller(front, id, caller_command) => {
+                        let delivered = match front {
                             Front::Platform => {
-                                let mail = FrontMail::Near(id, near);
-                                self.platform.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
+                                let message = PlatformMessage::ToCaller(id, caller_command);
+                                self.platform.as_ref().is_some_and(|front| front.try_send(message).is_ok())
                             }
                             Front::Sip => {
-                                let mail = SipMail::Near(id, near);
-                                self.sip.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
+                                let message = SipFrontMessage::ToCaller(id, caller_command);
+                                self.sip.as_ref().is_some_and(|front| front.try_send(message).is_ok())
                             }
                         };
-                        if !told {
-                            tracing::error!("a front has ended: an answer is lost");
+                        if !delivered {
+                            tracing::error!("a front has ended: command to a caller lost");
                         }
                     }
-                    CallEffect::Exchange(office, id, far) => {
-                        let set_up = match &far {
+                    CallEffect::Exchange(exchange_id, id, exchange_command) => {
+                        let set_up_leg = match &exchange_command {
                             ExchangeCommand::SetUp(set_up) => Some(set_up.leg),
                             _ => None,
                         };
-                        let sent = if self.sip_offices.iter().any(|o| o.id == office) {
-                            let mail = SipMail::Far(office, id.clone(), far);
-                            self.sip.as_ref().is_some_and(|front| front.try_send(mail).is_ok())
-                        } else {
-                            let mail = PeerMail::Command(id.clone(), far);
-                            peers.get(&office).is_some_and(|peer| peer.try_send(mail).is_ok())
-                        };
-                        if let (false, Some(leg)) = (sent, set_up) {
-                            tracing::warn!(office = office.0, "no way to an exchange: its set-up never left");
-                            let (outcome, why) = (Outcome::ConnectFailed, Cause::Unspecified);
+                        let delivered_to_exchange =
+                            if self.sip_exchanges.iter().any(|entry| entry.id == exchange_id) {
+                                let message =
+                                    SipFrontMessage::ToExchange(exchange_id, id.clone(), exchange_command);
+                                self.sip.as_ref().is_some_and(|front| front.try_send(message).is_ok())
+                            } else {
+                                let message = PeerActorMessage::Command(id.clone(), exchange_command);
+                                peers.get(&exchange_id).is_some_and(|peer| peer.try_send(message).is_ok())
+                            };
+                        if let (false, Some(leg)) = (delivered_to_exchange, set_up_leg) {
+                            tracing::warn!(office = exchange_id.0, "exchange has no actor: set-up not sent");
+                            let (outcome, cause) = (Outcome::ConnectFailed, Cause::Unspecified);
                             let (leg, report) = (Some(leg), LoadReport::default());
                             let input = CallEvent::SetUpFailed {
                                 id,
-                                exchange: office,
+                                exchange: exchange_id,
                                 leg,
                                 outcome,
-                                cause: why,
+                                cause,
                                 report,
                             };
-                            self.table.handle(self.clock.now(), input, commands);
+                            self.table.handle(self.clock.now(), input, effects);
                         }
                     }
-                    CallEffect::StartTimer(at, wake) => {
-                        if self.alarms.try_send((at, Due::Core(wake))).is_err() {
-                            tracing::error!("the clock has ended: an alarm is lost");
+                    CallEffect::StartTimer(at, timer) => {
+                        if self.timers.try_send((at, TimerKind::Call(timer))).is_err() {
+                            tracing::error!("the clock actor has ended: timer lost");
                         }
                     }
                     CallEffect::Log(text) => tracing::warn!("{text}"),
--- a/src/net/permits.rs
+++ b/src/net/permits.rs
@@ -1,5 +1,5 @@
-//! The connections to exchanges, counted over all their actors. Whoever opens one holds a [`Permit`] for as long as its
-//! descriptor is in use. What is decided is decided by [`crate::limits::connections`].
+//! Permits for connections to exchanges, shared by the actors of all exchanges. An actor holds a [`Permit`] for as
+//! long as the descriptor of its connection is in use. [`crate::limits::connections`] decides who gets one.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,109 +8,113 @@
 use smol::channel::Sender;
 
 use super::clock::Clock;
-use super::peer::PeerMail;
+use super::peer::PeerActorMessage;
 use crate::interface::ExchangeId;
 use crate::limits::connections::{Allocation, ConnectionBudget, Purpose};
 use crate::telemetry;
 
-/// What an actor that asks for a connection is told.
+/// The answer to a request for a connection.
 #[derive(Debug)]
-pub enum Answer {
-    /// It may open one.
+pub enum PermitDecision {
+    /// A connection may be opened.
     Granted(Permit),
-    /// Another exchange was asked to give one up: ask again in a moment.
+    /// Another exchange was asked to give a connection up: ask again shortly.
     Wait,
-    /// Not now.
-    No,
+    /// No connection is available now.
+    Denied,
 }
 
-/// The budget and those who share it.
+/// The connection budget and the actors that share it.
 pub struct Permits {
     clock: Clock,
     budget: RefCell<ConnectionBudget>,
-    peers: RefCell<BTreeMap<ExchangeId, Sender<PeerMail>>>,
+    peers: RefCell<BTreeMap<ExchangeId, Sender<PeerActorMessage>>>,
 }
 
-/// The right to one descriptor for an exchange. Dropped, it is free again.
+/// The right to use one descriptor for an exchange; returned to the budget when dropped.
 pub struct Permit {
     permits: Rc<Permits>,
-    office: ExchangeId,
+    exchange: ExchangeId,
 }
 
 impl std::fmt::Debug for Permit {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Permit({})", self.office.0)
+        write!(f, "Permit({})", self.exchange.0)
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.permits.budget.borrow_mut().connection_closed(self.office);
+        self.permits.budget.borrow_mut().connection_closed(self.exchange);
     }
 }
 
 impl Permits {
-    /// So many connections to all exchanges together.
+    /// Creates a budget of `limit` connections for all exchanges together.
     pub fn new(clock: Clock, limit: usize) -> Rc<Permits> {
         let budget = RefCell::new(ConnectionBudget::new(limit));
         Rc::new(Permits { clock, budget, peers: RefCell::default() })
     }
 
-    /// An exchange is there. Says once where not every exchange can have a connection.
-    pub fn listed(&self, office: ExchangeId, mailbox: Sender<PeerMail>) {
+    /// Adds an exchange. Logs a warning when from now on not every exchange can have a connection.
+    pub fn add_exchange(&self, exchange: ExchangeId, mailbox: Sender<PeerActorMessage>) {
         let mut budget = self.budget.borrow_mut();
-        let fitted = budget.fits_one_each();
-        budget.add_exchange(self.clock.now(), office);
-        if fitted && !budget.fits_one_each() {
-            let (exchanges, connections) = (budget.exchange_count(), budget.limit());
-            tracing::warn!(exchanges, connections, "more exchanges than connections: idle ones wait for use");
+        let fitted_before = budget.fits_one_each();
+        budget.add_exchange(self.clock.now(), exchange);
+        if fitted_before && !budget.fits_one_each() {
+            let (exchange_count, connection_limit) = (budget.exchange_count(), budget.limit());
+            tracing::warn!(
+                exchanges = exchange_count,
+                connections = connection_limit,
+                "more exchanges than connections: idle ones wait for use"
+            );
         }
-        self.peers.borrow_mut().insert(office, mailbox);
+        self.peers.borrow_mut().insert(exchange, mailbox);
     }
 
-    /// An exchange is gone.
-    pub fn gone(&self, office: ExchangeId) {
-        self.budget.borrow_mut().remove_exchange(office);
-        self.peers.borrow_mut().remove(&office);
+    /// Removes an exchange.
+    pub fn remove_exchange(&self, exchange: ExchangeId) {
+        self.budget.borrow_mut().remove_exchange(exchange);
+        self.peers.borrow_mut().remove(&exchange);
     }
 
-    /// An exchange has set-ups open or calls that stand, or has none any more.
-    pub fn in_use(&self, office: ExchangeId, busy: bool) {
-        self.budget.borrow_mut().set_busy(self.clock.now(), office, busy);
+    /// Records whether an exchange has pending set-ups or established calls.
+    pub fn set_in_use(&self, exchange: ExchangeId, busy: bool) {
+        self.budget.borrow_mut().set_busy(self.clock.now(), exchange, busy);
     }
 
-    /// An exchange can't give a connection up now.
-    pub fn keeps(&self, office: ExchangeId) {
-        self.budget.borrow_mut().close_declined(office);
+    /// An exchange was asked to give a connection up, and can't at present.
+    pub fn decline_release(&self, exchange: ExchangeId) {
+        self.budget.borrow_mut().close_declined(exchange);
     }
 
-    /// Connections held.
-    pub fn held(&self) -> usize {
+    /// The number of connections that hold a permit.
+    pub fn open_connections(&self) -> usize {
         self.budget.borrow().allocated()
     }
 
-    /// An exchange wants a connection.
-    pub fn ask(self: &Rc<Self>, office: ExchangeId, purpose: Purpose) -> Answer {
-        let grant = self.budget.borrow_mut().request(office, purpose);
+    /// Requests a connection to an exchange.
+    pub fn request(self: &Rc<Self>, exchange: ExchangeId, purpose: Purpose) -> PermitDecision {
+        let grant = self.budget.borrow_mut().request(exchange, purpose);
         match grant {
-            Allocation::Granted => Answer::Granted(Permit { permits: self.clone(), office }),
+            Allocation::Granted => PermitDecision::Granted(Permit { permits: self.clone(), exchange }),
             Allocation::AfterClosing(victim) => {
                 telemetry::exchange_connection_reclaimed();
                 tracing::debug!(
-                    office = office.0,
+                    office = exchange.0,
                     victim = victim.0,
                     ?purpose,
-                    "asked for a connection of another"
+                    "connection requested from another exchange"
                 );
                 if let Some(peer) = self.peers.borrow().get(&victim) {
-                    // One whose actor has ended has given all up.
-                    let _ = peer.try_send(PeerMail::GiveUpConnection);
+                    // An actor that has ended has returned its permits already.
+                    let _ = peer.try_send(PeerActorMessage::GiveUpConnection);
                 }
-                Answer::Wait
+                PermitDecision::Wait
             }
             Allocation::Denied => {
                 telemetry::exchange_connection_denied();
-                Answer::No
+                PermitDecision::Denied
             }
         }
     }
