--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -527,7 +527,11 @@
     /// Checks what concerns several keys.
     fn check(&self, path: &Path) -> Result<(), LabError> {
         let invalid = |key: &str, what: &str| {
-            Err(LabError::Sense { path: PathBuf::from(path), key: key.to_owned(), what: what.to_owned() })
+            Err(LabError::InvalidValue {
+                path: PathBuf::from(path),
+                key: key.to_owned(),
+                what: what.to_owned(),
+            })
         };
         let n = self.fleet.exchanges;
         if n.lowest() < 2.0 || n.highest() > 1000.0 {
