--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -358,9 +358,9 @@
             let arm = Arm::named(&candidate)?;
             let day = Day::draw(&scenario, seed);
             let calls = calls.into_iter().map(CallId).collect();
-            let mut seats = CallTrace::new(arm.seats()?, calls);
-            let result = run(&day, &generate(&day), &mut seats, arm.salt)?;
-            print_text(&seats.lines.join("\n"));
+            let mut fleet = CallTrace::new(arm.proxy_fleet()?, calls);
+            let result = run(&day, &generate(&day), &mut fleet, arm.salt)?;
+            print_text(&fleet.lines.join("\n"));
             Ok(!report_findings(&arm.name, &[result]))
         }
         Command::Sweep { scenario, set, candidate, days, json } => {
@@ -398,9 +398,9 @@
         Command::Capture { scenario, seed, proxy, out } => {
             let scenario = Scenario::read(&scenario)?;
             let day = Day::draw(&scenario, seed);
-            let mut seats = Capturing::new(Tuning::default());
-            let result = run(&day, &generate(&day), &mut seats, 0)?;
-            let Some(entries) = seats.captures.remove(&proxy) else {
+            let mut fleet = Capturing::new(Tuning::default());
+            let result = run(&day, &generate(&day), &mut fleet, 0)?;
+            let Some(entries) = fleet.captures.remove(&proxy) else {
                 return Err(LabError::Argument(format!(
                     "--proxy {proxy}: the day has {} proxies",
                     day.exchange_count
@@ -496,10 +496,10 @@
         let day = Day::draw(&scenario, seed);
         let callers = generate(&day);
         let program = ExternalProgram::start("twin", program, Duration::from_secs(20))?;
-        let mut seats = Twin::new(Shipped::new(Tuning::default()), program);
-        run(&day, &callers, &mut seats, 0)?;
-        decisions += seats.decisions;
-        differences.extend(seats.differences.into_iter().map(|d| (seed, d)));
+        let mut fleet = Twin::new(Shipped::new(Tuning::default()), program);
+        run(&day, &callers, &mut fleet, 0)?;
+        decisions += fleet.decisions;
+        differences.extend(fleet.differences.into_iter().map(|d| (seed, d)));
     }
     if json {
         print_text(&keep::to_json(&serde_json::json!({"decisions": decisions, "differences": differences})));
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -3,8 +3,7 @@
 //! on the same days, with confidence intervals.
 //!
 //! The results are deterministic: the same seed gives the same result, byte for byte, on any number of threads. The
-//! model uses no wall clock and no sockets, and draws every random number from a stream of its own purpose
-//! ([`random`]).
+//! model uses no wall clock and no sockets, and has a separate random stream for each purpose ([`random`]).
 
 pub mod captures;
 pub mod cli;
--- a/crates/lab/src/study/arm.rs
+++ b/crates/lab/src/study/arm.rs
@@ -42,30 +42,33 @@
 
     /// The built-in candidates: the shipped tuning, changes that are known to be worse, and one with other seeds only.
     pub fn built_in() -> Vec<Arm> {
-        let t = Tuning::default;
+        let shipped = Tuning::default;
         vec![
-            Arm::tuned("today", "what ships", t()),
+            Arm::tuned("today", "what ships", shipped()),
             Arm::tuned(
                 "refusal-off",
                 "no first set-up is refused under overload",
-                Tuning { refused: [0.0; 5], ..t() },
+                Tuning { refused: [0.0; 5], ..shipped() },
             ),
             Arm::tuned(
                 "reservation-off",
                 "no circuit is kept back from transit and alternative calls",
-                Tuning { reserve: 0.0, ..t() },
+                Tuning { reserve: 0.0, ..shipped() },
             ),
             Arm::tuned(
                 "no-full-pause",
                 "no pause of sends after 'processor full'",
-                Tuning { full_pause: 0.0, ..t() },
+                Tuning { full_pause: 0.0, ..shipped() },
             ),
             Arm::tuned(
                 "refused-pause-3s",
                 "3 s without sends to an exchange after every set-up that it turned away",
-                Tuning { full_pause: 3.0, refused_pause: 3.0, ..t() },
+                Tuning { full_pause: 3.0, refused_pause: 3.0, ..shipped() },
             ),
-            Arm { salt: 1, ..Arm::tuned("another-seed", "what ships, with other seeds of the module", t()) },
+            Arm {
+                salt: 1,
+                ..Arm::tuned("another-seed", "what ships, with other seeds of the module", shipped())
+            },
         ]
     }
 
@@ -109,25 +112,25 @@
                 return Some((key.clone(), "expected a number of 0 or above".to_owned()));
             }
         }
-        let t = &self.tuning;
-        if t.refused.iter().any(|share| *share > 1.0) {
+        let tuning = &self.tuning;
+        if tuning.refused.iter().any(|share| *share > 1.0) {
             return Some(("refused".to_owned(), "expected shares from 0 to 1".to_owned()));
         }
-        if t.onset_min > t.onset_max {
+        if tuning.onset_min > tuning.onset_max {
             return Some(("onset_min".to_owned(), "is above onset_max".to_owned()));
         }
-        if t.abate <= 0.5 || t.abate >= 1.0 {
+        if tuning.abate <= 0.5 || tuning.abate >= 1.0 {
             let what = "want more than 0.5 and less than 1, so that abate1 < onset1 < abate2";
             return Some(("abate".to_owned(), what.to_owned()));
         }
-        if t.most_tries == 0 {
+        if tuning.most_tries == 0 {
             return Some(("most_tries".to_owned(), "expected 1 or more".to_owned()));
         }
         None
     }
 
     /// Creates the proxies of this arm for one simulated day.
-    pub fn seats(&self) -> Result<Box<dyn ProxyFleet>, LabError> {
+    pub fn proxy_fleet(&self) -> Result<Box<dyn ProxyFleet>, LabError> {
         if self.program.is_empty() {
             Ok(Box::new(Shipped::new(self.tuning.clone())))
         } else {
--- a/crates/lab/src/study/chart.rs
+++ b/crates/lab/src/study/chart.rs
@@ -40,7 +40,8 @@
         .iter()
         .map(|a| (a.name.clone(), a.figures.iter().map(|f| f.difference).collect()))
         .collect();
-    let all = arms.iter().flat_map(|(_, xs)| xs).map(|i| i.ends().unwrap_or((i.mean, i.mean)));
+    let all =
+        arms.iter().flat_map(|(_, differences)| differences).map(|i| i.ends().unwrap_or((i.mean, i.mean)));
     let ends: Vec<f64> = all.flat_map(|(a, b)| [a, b]).collect();
     let low = ends.iter().copied().fold(0.0, f64::min) - 0.01;
     let high = ends.iter().copied().fold(0.0, f64::max) + 0.01;
--- a/crates/lab/src/study/compare.rs
+++ b/crates/lab/src/study/compare.rs
@@ -89,7 +89,7 @@
     for day in days {
         for (ix, (name, x)) in figures_of(scenario, day).into_iter().enumerate() {
             match columns.get_mut(ix) {
-                Some((_, xs)) => xs.push(x),
+                Some((_, values)) => values.push(x),
                 None => columns.push((name, vec![x])),
             }
         }
@@ -128,8 +128,8 @@
         };
         let service = super::stats::t_interval(&days.iter().map(of_day).collect::<Vec<_>>());
         let mean = |f: fn(&crate::world::Sample) -> f64| {
-            let xs: Vec<f64> = days.iter().filter_map(|d| d.samples.get(s)).map(f).collect();
-            super::stats::mean(&xs)
+            let values: Vec<f64> = days.iter().filter_map(|d| d.samples.get(s)).map(f).collect();
+            super::stats::mean(&values)
         };
         Second {
             service,
--- a/crates/lab/src/study/mod.rs
+++ b/crates/lab/src/study/mod.rs
@@ -41,7 +41,7 @@
             None => generate(&day),
         };
         let results = arms.iter().map(|arm| {
-            let result = run(&day, &callers, arm.seats()?.as_mut(), arm.salt);
+            let result = run(&day, &callers, arm.proxy_fleet()?.as_mut(), arm.salt);
             progress.inc(1);
             result
         });
@@ -59,15 +59,15 @@
 
 /// The named figures of a day that are compared, the service first; higher is better for all of them.
 pub fn figures(scenario: &Scenario, day: &DayResult) -> Vec<(String, f64)> {
-    let s = &day.service;
+    let service = &day.service;
     let mut figures = vec![
-        ("service".to_owned(), s.figure),
-        ("whole".to_owned(), s.whole),
-        ("worst 10 s".to_owned(), s.worst_10_s),
+        ("service".to_owned(), service.figure),
+        ("whole".to_owned(), service.whole),
+        ("worst 10 s".to_owned(), service.worst_10_s),
     ];
-    let classes = scenario.classes.iter().map(|c| &c.name).zip(&s.classes);
+    let classes = scenario.classes.iter().map(|c| &c.name).zip(&service.classes);
     figures.extend(classes.map(|(name, x)| (format!("class {name}"), *x)));
-    let tenants = scenario.tenants.iter().map(|t| &t.name).zip(&s.tenants);
+    let tenants = scenario.tenants.iter().map(|t| &t.name).zip(&service.tenants);
     figures.extend(tenants.map(|(name, x)| (format!("tenant {name}"), *x)));
     figures
 }
--- a/crates/lab/src/study/paper.rs
+++ b/crates/lab/src/study/paper.rs
@@ -62,9 +62,11 @@
     /// Rate of offered set-ups, relative to the processor's capacity without refusals.
     pub offered: f64,
     /// Share of the samples at each level.
-    pub spent: [f64; 5],
+    #[serde(rename = "spent")]
+    pub level_shares: [f64; 5],
     /// Number of changes to an adjacent level, and of all level changes.
-    pub moves: [u64; 2],
+    #[serde(rename = "moves")]
+    pub level_changes: [u64; 2],
     /// Highest queue depth after the settling time.
     pub high: usize,
     /// Lowest queue depth after the settling time.
@@ -72,14 +74,14 @@
 }
 
 impl SteadyResult {
-    /// The largest share of the samples that lies in two adjacent levels; the paper requires all of them.
+    /// The largest share of the samples that lies in two adjacent levels; the paper requires a share of 1.
     pub fn largest_adjacent_share(&self) -> f64 {
-        self.spent.windows(2).map(|w| w[0] + w[1]).fold(0.0, f64::max)
+        self.level_shares.windows(2).map(|w| w[0] + w[1]).fold(0.0, f64::max)
     }
 
-    /// Whether the load reports `level`.
+    /// Whether more than `REPORTED_SHARE` of the samples are at `level` or above.
     fn reports(&self, level: usize) -> bool {
-        self.spent[level..].iter().sum::<f64>() > REPORTED_SHARE
+        self.level_shares[level..].iter().sum::<f64>() > REPORTED_SHARE
     }
 }
 
@@ -103,15 +105,15 @@
 
 /// Simulates a steady load for `seconds`.
 pub fn run_steady_load(thresholds: &Thresholds, offered: f64, seconds: f64, seed: u64) -> SteadyResult {
-    let works = processor_settings();
-    let mut processor = Processor::new(ExchangeId(1), works, None);
+    let parameters = processor_settings();
+    let mut processor = Processor::new(ExchangeId(1), parameters, None);
     let mut arrivals = stream(seed, Purpose::Arrivals, 0);
     let mut work = stream(seed, Purpose::ProcessorWork, 0);
-    let gap = works.set_up_us / offered;
+    let gap = parameters.set_up_us / offered;
     let (end, settled) = ((seconds * SECOND as f64) as Us, SECOND * 10);
     let (mut next, mut sample, mut completion) = (0.0, SAMPLE_PERIOD_US, None::<(Us, u64)>);
     let (mut level, mut refusal_credit) = (0usize, 0.0);
-    let (mut spent, mut moves, mut high, mut low) = ([0u64; 5], [0u64; 2], 0, usize::MAX);
+    let (mut sample_counts, mut level_changes, mut high, mut low) = ([0u64; 5], [0u64; 2], 0, usize::MAX);
     loop {
         let at = (next as Us).min(sample).min(completion.map_or(Us::MAX, |(at, _)| at));
         if at >= end {
@@ -123,10 +125,10 @@
             let depth = processor.present();
             let to = thresholds.step(level, depth as f64);
             if at >= settled {
-                spent[to] += 1;
+                sample_counts[to] += 1;
                 if to != level {
-                    moves[0] += u64::from(to.abs_diff(level) == 1);
-                    moves[1] += 1;
+                    level_changes[0] += u64::from(to.abs_diff(level) == 1);
+                    level_changes[1] += 1;
                 }
                 (high, low) = (high.max(depth), low.min(depth));
             }
@@ -137,13 +139,19 @@
             let refuse = refusal_credit >= 1.0;
             refusal_credit -= if refuse { 1.0 } else { 0.0 };
             let (task, size) =
-                if refuse { (Task::Refuse, works.refuse) } else { (Task::ReceiveSetUp(0), 1.0) };
+                if refuse { (Task::Refuse, parameters.refuse) } else { (Task::ReceiveSetUp(0), 1.0) };
             completion = processor.push(at, task, size, &mut work).or(completion);
             next += gap * Distribution::<f64>::sample(&Exp1, &mut arrivals);
         }
     }
-    let all = spent.iter().sum::<u64>().max(1) as f64;
-    SteadyResult { offered, spent: spent.map(|s| s as f64 / all), moves, high, low: low.min(high) }
+    let all = sample_counts.iter().sum::<u64>().max(1) as f64;
+    SteadyResult {
+        offered,
+        level_shares: sample_counts.map(|s| s as f64 / all),
+        level_changes,
+        high,
+        low: low.min(high),
+    }
 }
 
 /// Result of the procedure, by step.
@@ -173,31 +181,39 @@
 pub fn run_procedure(onset1: f64, seconds: f64, seed: u64) -> ProcedureResult {
     let grid: Vec<f64> = (16..=200).map(|k| f64::from(k) * 0.05).collect();
     let margin = MARGIN_SHARE * onset1;
-    let mut t = Thresholds::doubling(onset1, ABATE_SHARE);
+    let mut thresholds = Thresholds::doubling(onset1, ABATE_SHARE);
     let (mut loads, mut deltas) = (Vec::new(), Vec::new());
     for level in 1..=4usize {
         // Step 1: raise the load until the level is reported, with the levels above it unreachable.
-        let reported = |load: &&f64| run_steady_load(&t.up_to(level), **load, seconds, seed).reports(level);
+        let reported =
+            |load: &&f64| run_steady_load(&thresholds.up_to(level), **load, seconds, seed).reports(level);
         let load = grid.iter().find(reported).copied().unwrap_or(10.0);
         // Step 2: how far the queue depth rises above the onset and falls below the abatement threshold.
-        let result = run_steady_load(&t.up_to(level), load, seconds, seed);
-        let above = result.high as f64 - t.onset[level - 1];
-        let below = t.abate[level - 1] - result.low as f64;
+        let result = run_steady_load(&thresholds.up_to(level), load, seconds, seed);
+        let above = result.high as f64 - thresholds.onset[level - 1];
+        let below = thresholds.abate[level - 1] - result.low as f64;
         let delta = if level == 1 { above } else { above.max(below) }.max(0.0);
         loads.push(load);
         deltas.push(delta);
-        // Step 3: place the thresholds of the next level beyond that, with a margin.
+        // Step 3: raise the thresholds of the next level by that and a margin.
         if level < 4 {
-            t.onset[level] = t.onset[level - 1] + delta + margin;
-            t.abate[level] = t.abate[level - 1] + delta + margin;
+            thresholds.onset[level] = thresholds.onset[level - 1] + delta + margin;
+            thresholds.abate[level] = thresholds.abate[level - 1] + delta + margin;
         }
     }
-    let run_loads = |t: &Thresholds| {
+    let run_loads = |thresholds: &Thresholds| {
         let loads = [0.8, 1.0, 1.1, 1.2, 1.5, 2.0, 3.0, 4.0];
-        loads.map(|load| run_steady_load(t, load, 4.0 * seconds, seed + 1)).to_vec()
+        loads.map(|load| run_steady_load(thresholds, load, 4.0 * seconds, seed + 1)).to_vec()
     };
     let with_doubling = run_loads(&Thresholds::doubling(onset1, ABATE_SHARE));
-    ProcedureResult { onset1, loads, deltas, tuned: t, with_tuned: run_loads(&t), with_doubling }
+    ProcedureResult {
+        onset1,
+        loads,
+        deltas,
+        tuned: thresholds,
+        with_tuned: run_loads(&thresholds),
+        with_doubling,
+    }
 }
 
 #[cfg(test)]
@@ -206,13 +222,13 @@
 
     #[test]
     fn levels_have_two_thresholds() {
-        let t = Thresholds::doubling(10.0, 0.6);
-        assert_eq!(t.step(0, 10.0), 0);
-        assert_eq!(t.step(0, 11.0), 1);
-        assert_eq!(t.step(1, 7.0), 1, "the level stays between abatement 6 and onset 20");
-        assert_eq!(t.step(1, 5.0), 0);
-        assert_eq!(t.step(0, 100.0), 4);
-        assert_eq!(t.up_to(2).step(0, 100.0), 2);
+        let thresholds = Thresholds::doubling(10.0, 0.6);
+        assert_eq!(thresholds.step(0, 10.0), 0);
+        assert_eq!(thresholds.step(0, 11.0), 1);
+        assert_eq!(thresholds.step(1, 7.0), 1, "the level stays between abatement 6 and onset 20");
+        assert_eq!(thresholds.step(1, 5.0), 0);
+        assert_eq!(thresholds.step(0, 100.0), 4);
+        assert_eq!(thresholds.up_to(2).step(0, 100.0), 2);
     }
 
     #[test]
--- a/crates/lab/src/study/stats.rs
+++ b/crates/lab/src/study/stats.rs
@@ -28,35 +28,36 @@
 }
 
 /// The mean of some numbers; 0 for an empty slice.
-pub fn mean(xs: &[f64]) -> f64 {
-    if xs.is_empty() {
+pub fn mean(values: &[f64]) -> f64 {
+    if values.is_empty() {
         return 0.0;
     }
-    xs.iter().sum::<f64>() / xs.len() as f64
+    values.iter().sum::<f64>() / values.len() as f64
 }
 
 /// The unbiased variance of a sample.
-pub fn variance(xs: &[f64]) -> f64 {
-    let m = mean(xs);
-    xs.iter().map(|x| (x - m).powi(2)).sum::<f64>() / (xs.len().max(2) - 1) as f64
+pub fn variance(values: &[f64]) -> f64 {
+    let mean_value = mean(values);
+    values.iter().map(|x| (x - mean_value).powi(2)).sum::<f64>() / (values.len().max(2) - 1) as f64
 }
 
 /// Student's t for a two-sided 95% interval with these degrees of freedom.
-fn t95(freedom: usize) -> f64 {
+fn t95(degrees_of_freedom: usize) -> f64 {
     // The distribution exists for one degree of freedom or more.
-    StudentsT::new(0.0, 1.0, freedom.max(1) as f64).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975))
+    StudentsT::new(0.0, 1.0, degrees_of_freedom.max(1) as f64)
+        .map_or(f64::INFINITY, |distribution| distribution.inverse_cdf(0.975))
 }
 
 /// The mean of a sample with Student's 95% interval.
-pub fn t_interval(xs: &[f64]) -> Interval {
-    interval(xs, 1.0)
+pub fn t_interval(values: &[f64]) -> Interval {
+    interval(values, 1.0)
 }
 
 /// Student's 95% interval with a correction factor on the variance.
-fn interval(xs: &[f64], correction: f64) -> Interval {
-    let n = xs.len();
-    let half = (n >= 2).then(|| t95(n - 1) * (variance(xs) * correction / n as f64).sqrt());
-    Interval { mean: mean(xs), half }
+fn interval(values: &[f64], correction: f64) -> Interval {
+    let n = values.len();
+    let half = (n >= 2).then(|| t95(n - 1) * (variance(values) * correction / n as f64).sqrt());
+    Interval { mean: mean(values), half }
 }
 
 /// Within-day intervals of several arms on the same days, without the variation between days (Cousineau 2005 with
--- a/crates/lab/src/study/sweep.rs
+++ b/crates/lab/src/study/sweep.rs
@@ -113,8 +113,8 @@
     let all: Vec<_> = days.iter().map(|d| figures(&point.scenario, d)).collect();
     let names = all.first().map(|f| f.iter().map(|(n, _)| n.clone()).collect::<Vec<_>>()).unwrap_or_default();
     let figures = names.into_iter().enumerate().map(|(ix, name)| {
-        let xs: Vec<f64> = all.iter().map(|f| f[ix].1).collect();
-        (name, t_interval(&xs))
+        let values: Vec<f64> = all.iter().map(|f| f[ix].1).collect();
+        (name, t_interval(&values))
     });
     let broken_days = days.iter().filter(|d| d.broken_rules > 0).count();
     PointResult { values: point.values.clone(), figures: figures.collect(), broken_days }
--- a/crates/lab/src/study/verify.rs
+++ b/crates/lab/src/study/verify.rs
@@ -106,11 +106,12 @@
 /// Little's law in a processor's queue: the mean number of jobs present, divided by the rate of set-ups times their
 /// mean time in the system.
 fn little_in_queue(day: &DayResult, set_up_s: f64) -> f64 {
-    let line = &day.queues[0];
-    let all: f64 = line.present.iter().sum();
-    let mean = line.present.iter().enumerate().map(|(k, t)| k as f64 * t).sum::<f64>() / all.max(1.0);
-    let rate = line.served as f64 / (all / 1e6).max(1.0);
-    mean / (rate * (line.waited / line.served.max(1) as f64 / 1e6 + set_up_s)).max(1e-12)
+    let queue = &day.queues[0];
+    let all: f64 = queue.present.iter().sum();
+    let mean =
+        queue.present.iter().enumerate().map(|(jobs, time)| jobs as f64 * time).sum::<f64>() / all.max(1.0);
+    let rate = queue.served as f64 / (all / 1e6).max(1.0);
+    mean / (rate * (queue.waited / queue.served.max(1) as f64 / 1e6 + set_up_s)).max(1e-12)
 }
 
 /// Checks that apply to every run: conservation, no broken rules, and Little's law for established calls.
@@ -176,9 +177,9 @@
     /// Last overload levels of far exchanges, by proxy and exchange.
     last: Vec<Vec<usize>>,
     /// Number of changes of a far level, by old and new level.
-    moves: [[u64; 5]; 5],
+    change_counts: [[u64; 5]; 5],
     /// Number of ticks at each far level, over all proxies and exchanges.
-    spent: [u64; 5],
+    tick_counts: [u64; 5],
 }
 
 impl ProxyFleet for LevelRecorder {
@@ -199,16 +200,16 @@
     fn tick(
         &mut self,
         now: mallowring::interface::Time,
-        told: EventsByProxy,
+        events: EventsByProxy,
         out: &mut Vec<(usize, mallowring::calls::CallEffect)>,
     ) -> Result<(), LabError> {
-        self.inner.tick(now, told, out)?;
+        self.inner.tick(now, events, out)?;
         for (proxy, last) in self.last.iter_mut().enumerate() {
             let Some(levels) = self.inner.levels(proxy) else { continue };
             for (exchange, level) in levels.far {
                 let (from, to) = (last[exchange].min(4), level.min(4));
-                self.moves[from][to] += u64::from(from != to);
-                self.spent[to] += 1;
+                self.change_counts[from][to] += u64::from(from != to);
+                self.tick_counts[to] += 1;
                 last[exchange] = level;
             }
         }
@@ -222,26 +223,30 @@
     /// Offered load, relative to the planned load.
     pub offered: f64,
     /// Share of the time at each level.
-    pub spent: [f64; 5],
+    #[serde(rename = "spent")]
+    pub level_shares: [f64; 5],
     /// Number of changes between adjacent levels, and of all level changes.
-    pub neighbours: [u64; 2],
+    #[serde(rename = "neighbours")]
+    pub level_changes: [u64; 2],
     /// Longest queue of a processor.
     pub high: usize,
 }
 
 /// Far overload levels of the shipped controller under steady loads.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Levels {
+pub struct SteadyLoadLevels {
     /// Results by load.
     pub loads: Vec<SteadyLoad>,
-    /// For each level, the lowest load at which a twentieth of the time is spent at it or above.
-    pub first: Vec<(usize, f64)>,
+    /// For each level, the lowest load that keeps the far levels at it or above for at least 5% of the time.
+    #[serde(rename = "first")]
+    pub lowest_loads: Vec<(usize, f64)>,
     /// Share of all level changes that were between adjacent levels.
-    pub neighbours: f64,
+    #[serde(rename = "neighbours")]
+    pub adjacent_share: f64,
 }
 
 /// Measures far levels under steady loads in a fleet where only processor capacity is scarce.
-fn far_levels(tuning: &Tuning, scale: f64) -> Result<Levels, LabError> {
+fn far_levels(tuning: &Tuning, scale: f64) -> Result<SteadyLoadLevels, LabError> {
     let loads = [0.8, 1.0, 1.1, 1.2, 1.35, 1.5, 1.75, 2.0, 2.5, 3.0];
     let run_one = |offered: &f64| -> Result<SteadyLoad, LabError> {
         let text = format!(
@@ -274,35 +279,35 @@
             120.0 * scale
         );
         let scenario = Scenario::parse(&text, Path::new("built in"))?;
-        let (mut spent, mut neighbours, mut high) = ([0u64; 5], [0u64; 2], 0);
+        let (mut level_ticks, mut level_changes, mut high) = ([0u64; 5], [0u64; 2], 0);
         for seed in 1..=4 {
             let day = Day::draw(&scenario, seed);
-            let mut seats = LevelRecorder {
+            let mut fleet = LevelRecorder {
                 inner: Shipped::new(tuning.clone()),
                 last: vec![vec![0; day.exchange_count]; day.exchange_count],
-                moves: [[0; 5]; 5],
-                spent: [0; 5],
+                change_counts: [[0; 5]; 5],
+                tick_counts: [0; 5],
             };
-            let result = run(&day, &generate(&day), &mut seats, 0)?;
-            for (from, row) in seats.moves.iter().enumerate() {
+            let result = run(&day, &generate(&day), &mut fleet, 0)?;
+            for (from, row) in fleet.change_counts.iter().enumerate() {
                 for (to, count) in row.iter().enumerate() {
-                    neighbours[0] += if from.abs_diff(to) == 1 { *count } else { 0 };
-                    neighbours[1] += count;
+                    level_changes[0] += if from.abs_diff(to) == 1 { *count } else { 0 };
+                    level_changes[1] += count;
                 }
             }
-            spent.iter_mut().zip(seats.spent).for_each(|(all, s)| *all += s);
-            high = result.queues.iter().map(|l| l.longest).fold(high, usize::max);
+            level_ticks.iter_mut().zip(fleet.tick_counts).for_each(|(all, s)| *all += s);
+            high = result.queues.iter().map(|queue| queue.longest).fold(high, usize::max);
         }
-        let all = spent.iter().sum::<u64>().max(1) as f64;
-        let spent = spent.map(|s| s as f64 / all);
-        Ok(SteadyLoad { offered: *offered, spent, neighbours, high })
+        let all = level_ticks.iter().sum::<u64>().max(1) as f64;
+        let level_shares = level_ticks.map(|s| s as f64 / all);
+        Ok(SteadyLoad { offered: *offered, level_shares, level_changes, high })
     };
     let loads: Vec<SteadyLoad> = loads.par_iter().map(run_one).collect::<Result<_, _>>()?;
-    // A level is reported once a twentieth of the time is spent there or above.
-    let reported = |level: usize| loads.iter().find(|l| l.spent[level..].iter().sum::<f64>() >= 0.05);
-    let first = (1..5).filter_map(|level| reported(level).map(|l| (level, l.offered))).collect();
-    let moves = loads.iter().fold([0, 0], |a, l| [a[0] + l.neighbours[0], a[1] + l.neighbours[1]]);
-    Ok(Levels { loads, first, neighbours: moves[0] as f64 / moves[1].max(1) as f64 })
+    // A load reports a level if the far levels are at it or above for at least 5% of the time.
+    let reported = |level: usize| loads.iter().find(|l| l.level_shares[level..].iter().sum::<f64>() >= 0.05);
+    let lowest_loads = (1..5).filter_map(|level| reported(level).map(|l| (level, l.offered))).collect();
+    let changes = loads.iter().fold([0, 0], |a, l| [a[0] + l.level_changes[0], a[1] + l.level_changes[1]]);
+    Ok(SteadyLoadLevels { loads, lowest_loads, adjacent_share: changes[0] as f64 / changes[1].max(1) as f64 })
 }
 
 /// Result of all checks.
@@ -313,7 +318,7 @@
     /// The paper's procedure (section 3.3), from three onsets of level 1.
     pub procedure: Vec<ProcedureResult>,
     /// Overload levels of the shipped controller, which relies on delayed reports from many senders.
-    pub shipped: Levels,
+    pub shipped: SteadyLoadLevels,
 }
 
 impl Verification {
@@ -349,9 +354,9 @@
         text.push_str("The shipped module's far levels, which rest on late reports:\n\n");
         let row = |l: &SteadyLoad| {
             let mut row = vec![format!("{:.2}", l.offered)];
-            row.extend(l.spent.iter().map(|s| format!("{:.1}%", s * 100.0)));
+            row.extend(l.level_shares.iter().map(|s| format!("{:.1}%", s * 100.0)));
             row.push(l.high.to_string());
-            row.push(format!("{} of {}", l.neighbours[0], l.neighbours[1]));
+            row.push(format!("{} of {}", l.level_changes[0], l.level_changes[1]));
             row
         };
         let mut header = vec!["steady load"];
@@ -360,14 +365,14 @@
         text.push_str(&table::plain(&header, self.shipped.loads.iter().map(row).collect()));
         let first: Vec<String> = self
             .shipped
-            .first
+            .lowest_loads
             .iter()
             .map(|(level, load)| format!("level {level} from load {load}"))
             .collect();
         text.push_str(&format!(
             "\n\n{}. {:.2}% of all moves were between neighbours.\n",
             first.join(", "),
-            self.shipped.neighbours * 100.0
+            self.shipped.adjacent_share * 100.0
         ));
         text
     }
@@ -378,7 +383,7 @@
 
 /// Formats one run of the paper's procedure.
 fn procedure_text(result: &ProcedureResult) -> String {
-    let list = |xs: &[f64]| xs.iter().map(|x| format!("{x:.1}")).collect::<Vec<_>>().join(", ");
+    let list = |values: &[f64]| values.iter().map(|x| format!("{x:.1}")).collect::<Vec<_>>().join(", ");
     let mut text = format!(
         "The paper's procedure from onset 1 = {:.0} set-ups:\n  step 1, loads that report levels 1 to 4: {}\n  \
          step 2, the line leaves its thresholds by: {}\n  step 3, onsets {}; abates {}\n\n",
@@ -390,9 +395,9 @@
     );
     let row = |(name, s): (&str, &SteadyResult)| {
         let mut row = vec![name.to_owned(), format!("{:.2}", s.offered)];
-        row.extend(s.spent.iter().map(|s| format!("{:.1}%", s * 100.0)));
+        row.extend(s.level_shares.iter().map(|s| format!("{:.1}%", s * 100.0)));
         row.push(s.high.to_string());
-        row.push(format!("{} of {}", s.moves[0], s.moves[1]));
+        row.push(format!("{} of {}", s.level_changes[0], s.level_changes[1]));
         row.push(format!("{:.1}%", s.largest_adjacent_share() * 100.0));
         row
     };
